--- a/src/poplaryard/api.py
+++ b/src/poplaryard/api.py
@@ -16,7 +16,7 @@
 from .clock import SystemClock
 from .codes import Code
 from .exceptions import CallError, PoplaryardError
-from .logs import requests_id
+from .logs import bind_request_id
 from .messages import Answer, Priority, Work, WorkKind
 from .resources import Resources
 
@@ -213,7 +213,7 @@
             return error_response(refusal)
         received = _clock.now()
         digest = hashlib.blake2b(data, digest_size=16).hexdigest()
-        with requests_id(work.request_id):
+        with bind_request_id(work.request_id):
             found = self._context.submit(work, digest)
         if not isinstance(found, Answer) and not wait:
             return _state_response(work.request_id, Code.ACCEPTED)
--- a/src/poplaryard/logs.py
+++ b/src/poplaryard/logs.py
@@ -18,7 +18,7 @@
     "log_failure",
     "logger",
     "request_id",
-    "requests_id",
+    "bind_request_id",
 ]
 
 logger = logging.getLogger("poplaryard")
@@ -150,7 +150,7 @@
 
 
 @contextlib.contextmanager
-def requests_id(value: str) -> t.Iterator[None]:
+def bind_request_id(value: str) -> t.Iterator[None]:
     """Give the records of a block the id of a request."""
     token = request_id.set(value)
     try:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,7 +14,7 @@
         """Guards against lines that cannot be tied to a request or a process."""
         stream = io.StringIO()
         logs.configure("entry-1#ab", "info", lambda: 4, stream)
-        with logs.requests_id("r1"):
+        with logs.bind_request_id("r1"):
             logs.logger.info("sent", extra={"shard": "dc1/0"})
         logs.logger.debug("not written")
         logs.logger.error("failed")
