--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -34,7 +34,7 @@
 from .settings import Settings
 from .store_http import HttpStore
 from .upkeep import UpkeepTask
-from .vmlist import VmListTask
+from .vmlist import VmListPoller
 from .web import new_starlette
 from .workers_http import HttpWorkers
 
@@ -203,7 +203,7 @@
             self.clock,
             self.exchange.apply,
         )
-        self.vm_list = VmListTask(
+        self.vm_list = VmListPoller(
             self.store,
             data_centre,
             self.dispatcher.vm_leaving,
--- a/src/poplaryard/vmlist.py
+++ b/src/poplaryard/vmlist.py
@@ -7,7 +7,7 @@
 
 from .exceptions import PoplaryardError
 
-__all__ = ["ListedVm", "VmList", "VmListTask"]
+__all__ = ["ListedVm", "VmList", "VmListPoller"]
 
 # P6 allows 3 s from the list to the last placement.
 POLL_S = 2.0
@@ -28,7 +28,7 @@
         """Return the VMs of one data centre; raises `StoreDown` if it is down."""
 
 
-class VmListTask:
+class VmListPoller:
     """Polls the list and tells what has changed.
 
     Every process polls, also one that owns no shard: it may take one over, and then has
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -4,7 +4,7 @@
 import testtools
 
 from poplaryard.exceptions import StoreDown
-from poplaryard.vmlist import ListedVm, VmListTask
+from poplaryard.vmlist import ListedVm, VmListPoller
 
 
 class VmListTest(testtools.TestCase):
@@ -25,7 +25,7 @@
                     raise found
                 return found
 
-        task = VmListTask(
+        task = VmListPoller(
             Source(),
             "dc1",
             lambda name, leaving: told.append((name, leaving)),
