--- a/src/poplaryard/platform/entry.py
+++ b/src/poplaryard/platform/entry.py
@@ -16,7 +16,7 @@
 from ..exceptions import CallError
 from ..logs import logger
 from ..server import HttpServer
-from ..workload.node import Formats, Node, NodeConfig, strength
+from ..workload.node import Node, NodeConfig, StoreSchema, strength
 from ..workload.owner import OwnerLimits
 from .codec import (
     CONFIG_KEY,
@@ -113,8 +113,8 @@
             cfg.listen.peers,
             strength(cfg.cpu_share * cfg.core_speed, cfg.link_mbps),
             OwnerLimits(
-                hold_s=min(HOLD_S, cfg.max_hold_ms / 1000),
-                keep_s=cfg.keep_s,
+                run_lease_s=min(HOLD_S, cfg.max_hold_ms / 1000),
+                retention_s=cfg.keep_s,
                 early_s=cfg.early_ms / 1000,
             ),
         ),
@@ -122,7 +122,9 @@
         WorkerClient(client, ORDER_TIMEOUT_S),
         AdviceClient(client, cfg.advice),
         client,
-        Formats(CONFIG_KEY, WORKER_PREFIX, decode_config, decode_worker, DecodeFailed),
+        StoreSchema(
+            CONFIG_KEY, WORKER_PREFIX, decode_config, decode_worker, DecodeFailed
+        ),
         SystemClock(),
     )
 
--- a/src/poplaryard/workload/advice.py
+++ b/src/poplaryard/workload/advice.py
@@ -1,8 +1,9 @@
-"""Spreads calls for advice over the processes.
+"""Distributes advice calls over the processes.
 
-The advice service handles the calls of one process one after the other, and some take
-half a second. Slow calls therefore go through peers that own no group, and a call that
-is answered quickly never waits behind one.
+The advice service tells which workers may run a task and issues tickets for them. It
+handles the calls of one process one at a time, and some take half a second. Slow calls
+therefore go through peers that own no group, so that quick calls never wait behind
+them.
 """
 
 import typing as t
@@ -11,37 +12,38 @@
 from ..exceptions import PoplaryardError
 from ..logs import logger
 
-__all__ = ["SLOW_S", "AdviceLines", "Advisor", "Line", "OwnLine"]
+__all__ = ["SLOW_S", "ChannelPool", "Advisor", "Channel", "LocalAdvisor"]
 
-# Calls expected to take longer than this are slow, in seconds. Quick calls are asked
-# for short tasks, whose callers notice every tenth of a second.
+# Calls expected to take longer than this are slow, in seconds. Quick calls are made
+# for short tasks, where a delay of 0.1 s is noticeable to the caller.
 SLOW_S = 0.1
-# Quick calls that may wait at the advice service for each other.
+# Quick calls of one process that may be queued at the advice service at once.
 QUICK_CALLS = 3
-# An owner uses its own line for slow calls if it made no quick one for this long, in
-# seconds.
+# An owner uses its own channel for slow calls only after this long without a quick
+# call, in seconds.
 QUICK_IDLE_S = 5.0
-# Pauses of a line that failed, and of one that another owner uses, in seconds.
+# Time for which a channel is not used after a failed call, and after a call that was
+# refused because another owner uses the channel, in seconds.
 FAILED_PAUSE_S = 1.0
 BUSY_PAUSE_S = 0.05
-# Time that an answer may take beyond the expected cost, in seconds.
+# Added to the expected duration of a call to get its timeout, in seconds.
 TIMEOUT_SLACK_S = 0.6
 
 
 class Advisor(t.Protocol):
-    """Calls to the advice service."""
+    """Client of the advice service."""
 
     async def ask(
         self, step: str, workers: list[str], timeout_s: float, slow: bool = False
     ) -> tuple[dict[str, str], float] | None:
-        """Return tickets by worker and their life in seconds; None if refused."""
+        """Return tickets by worker and their validity in seconds; None if refused."""
 
 
-class OwnLine:
-    """Line of the process, shared by its owners and its peers.
+class LocalAdvisor:
+    """Advisor that uses this process's queue at the advice service.
 
-    Refuses a call that would wait behind a slow one, so that the caller can use
-    another line.
+    The process's own group owners and its peers share it. It refuses a call that would
+    wait behind a slow one, so that the caller can use another channel.
 
     Parameters
     ----------
@@ -50,136 +52,166 @@
 
     def __init__(self, advisor: Advisor):
         self._advisor = advisor
-        self._slow = 0
-        self._quick = 0
+        self._slow_calls = 0
+        self._quick_calls = 0
 
     async def ask(
         self, step: str, workers: list[str], timeout_s: float, slow: bool = False
     ) -> tuple[dict[str, str], float] | None:
-        """Return tickets by worker and their life in seconds; None if refused."""
-        if self._slow or (slow and self._quick > QUICK_CALLS):
+        """Return tickets by worker and their validity in seconds; None if refused."""
+        if self._slow_calls or (slow and self._quick_calls > QUICK_CALLS):
             return None
-        self._slow += slow
-        self._quick += not slow
+        self._slow_calls += slow
+        self._quick_calls += not slow
         try:
             return await self._advisor.ask(step, workers, timeout_s)
         finally:
-            self._slow -= slow
-            self._quick -= not slow
+            self._slow_calls -= slow
+            self._quick_calls -= not slow
 
 
 @dataclass(slots=True, eq=False)
-class Line:
-    """Queue that the advice service keeps for one process.
+class Channel:
+    """Path to the advice service through one process, with the calls in progress.
 
     Attributes
     ----------
     name : str
-        Process whose line it is.
-    owns : bool
-        Whether that process owns groups and needs its line for their quick calls.
+        Process that makes the calls; empty for this process.
+    owns_groups : bool
+        Whether that process owns groups and needs its channel for their quick calls.
+    slow_calls, quick_calls : int
+        Calls in progress.
+    paused_until, last_used_at, last_quick_at : float
+        Times on the owner's clock, in seconds.
     """
 
     name: str
     advisor: Advisor
-    owns: bool = False
-    slow: int = 0
-    quick: int = 0
+    owns_groups: bool = False
+    slow_calls: int = 0
+    quick_calls: int = 0
     paused_until: float = 0.0
-    used_at: float = 0.0
-    quick_at: float = float("-inf")
+    last_used_at: float = 0.0
+    last_quick_at: float = float("-inf")
 
-    def take(self, slow: bool, now: float) -> None:
-        """Count a call from the decision to make it on.
+    def acquire(self, slow: bool, now: float) -> None:
+        """Count a call that is about to begin.
 
-        A line would otherwise be picked again before its first call has begun.
+        The call is sent by a task that starts later; until then the channel would
+        otherwise be selected again.
         """
-        self.used_at = now
+        self.last_used_at = now
         if slow:
-            self.slow += 1
+            self.slow_calls += 1
         else:
-            self.quick += 1
+            self.quick_calls += 1
 
     def release(self, slow: bool) -> None:
-        """Count a call as ended."""
+        """Record that a call has ended."""
         if slow:
-            self.slow -= 1
+            self.slow_calls -= 1
         else:
-            self.quick -= 1
+            self.quick_calls -= 1
 
 
-class AdviceLines:
-    """Lines that an owner may use.
+class ChannelPool:
+    """Channels that the group owners of this process may use.
 
     Parameters
     ----------
-    own : Advisor
-        Calls in the name of this process.
+    local : Advisor
+        Advisor of this process.
     """
 
-    def __init__(self, own: Advisor):
-        self._own = Line("", own)
-        self._peers: dict[str, Line] = {}
+    def __init__(self, local: Advisor):
+        self._local = Channel("", local)
+        self._peers: dict[str, Channel] = {}
 
     def set_peers(self, peers: dict[str, tuple[Advisor, bool]]) -> None:
-        """Use the lines of these processes, and whether each owns groups."""
+        """Replace the peers; each has an advisor and whether it owns groups."""
         for name in [name for name in self._peers if name not in peers]:
             del self._peers[name]
-        for name, (advisor, owns) in peers.items():
-            line = self._peers.setdefault(name, Line(name, advisor))
-            line.advisor, line.owns = advisor, owns
+        for name, (advisor, owns_groups) in peers.items():
+            channel = self._peers.setdefault(name, Channel(name, advisor))
+            channel.advisor, channel.owns_groups = advisor, owns_groups
 
-    def pick(self, slow: bool, now: float) -> Line | None:
-        """Return a line for a call, or None if all are taken."""
-        return self._slow_line(now) if slow else self._quick_line(now)
+    def select(self, slow: bool, now: float) -> Channel | None:
+        """Return a channel for a call, or None if none is free."""
+        return self._select_slow(now) if slow else self._select_quick(now)
 
-    def take(self, line: Line, slow: bool, now: float) -> None:
-        """Use a line for a call; `Line.release` follows when the call has ended."""
-        line.take(slow, now)
+    def acquire(self, channel: Channel, slow: bool, now: float) -> None:
+        """Reserve a channel for a call; call `Channel.release` when it has ended."""
+        channel.acquire(slow, now)
         if not slow:
-            self._own.quick_at = now
-
-    def _slow_line(self, now: float) -> Line | None:
-        peers = [line for line in self._peers.values() if now >= line.paused_until]
-        candidates = [line for line in peers if not line.owns] or peers or [self._own]
-        if now > self._own.quick_at + QUICK_IDLE_S and self._own not in candidates:
-            candidates = [*candidates, self._own]
-        free = [line for line in candidates if not line.slow and not line.quick]
-        return min(free, key=lambda line: line.used_at, default=None)
-
-    def _quick_line(self, now: float) -> Line | None:
-        lines = [self._own, *self._peers.values()]
+            self._local.last_quick_at = now
+
+    def _select_slow(self, now: float) -> Channel | None:
+        peers = [
+            channel for channel in self._peers.values() if now >= channel.paused_until
+        ]
+        candidates = (
+            [channel for channel in peers if not channel.owns_groups]
+            or peers
+            or [self._local]
+        )
+        if (
+            now > self._local.last_quick_at + QUICK_IDLE_S
+            and self._local not in candidates
+        ):
+            candidates = [*candidates, self._local]
+        free = [
+            channel
+            for channel in candidates
+            if not channel.slow_calls and not channel.quick_calls
+        ]
+        return min(free, key=lambda channel: channel.last_used_at, default=None)
+
+    def _select_quick(self, now: float) -> Channel | None:
+        channels = [self._local, *self._peers.values()]
         free = [
-            line
-            for line in lines
-            if not line.slow and line.quick < QUICK_CALLS and now >= line.paused_until
+            channel
+            for channel in channels
+            if not channel.slow_calls
+            and channel.quick_calls < QUICK_CALLS
+            and now >= channel.paused_until
         ]
-        # Its own line first: a peer's adds a network round trip.
+        # Prefers the local channel: a peer adds a network round trip.
         return min(
             free,
-            key=lambda line: (line.quick, line is not self._own, line.owns),
+            key=lambda channel: (
+                channel.quick_calls,
+                channel is not self._local,
+                channel.owns_groups,
+            ),
             default=None,
         )
 
     async def ask(
         self,
-        line: Line,
+        channel: Channel,
         step: str,
         workers: list[str],
         cost_s: float,
         clock: t.Callable[[], float],
     ) -> tuple[dict[str, str], float] | None:
-        """Ask through a line; None if no advice was given."""
+        """Ask through a channel; return what `Advisor.ask` does, or None on failure.
+
+        Parameters
+        ----------
+        cost_s : float
+            Expected duration of the call in seconds.
+        """
         slow = cost_s > SLOW_S
-        timeout_s = cost_s * (1 + line.quick) + TIMEOUT_SLACK_S
+        timeout_s = cost_s * (1 + channel.quick_calls) + TIMEOUT_SLACK_S
         answer = None
         pause_s = BUSY_PAUSE_S
         try:
-            answer = await line.advisor.ask(step, workers, timeout_s, slow)
+            answer = await channel.advisor.ask(step, workers, timeout_s, slow)
         except PoplaryardError as exc:
-            extra = {"line": line.name, "step": step, "reason": exc.detail}
+            extra = {"line": channel.name, "step": step, "reason": exc.detail}
             logger.warning("no advice", extra=extra)
             pause_s = FAILED_PAUSE_S
         if answer is None:
-            line.paused_until = clock() + pause_s
+            channel.paused_until = clock() + pause_s
         return answer
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -1,4 +1,4 @@
-"""One process: takes jobs from callers and owns groups of workers."""
+"""Application object of a process: accepts jobs and owns groups of workers."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 from ..logs import logger
 from . import records
 from .acceptance import Acceptance, Accepted
-from .advice import AdviceLines, Advisor, OwnLine
+from .advice import Advisor, ChannelPool, LocalAdvisor
 from .membership import ProcessLease
 from .meters import Meters
 from .model import JobSpec, JobState, Queue, QueueTable, WorkerInfo
@@ -24,60 +24,65 @@
 from .storage import Change, Storage, Transaction
 from .watching import Watched
 
-__all__ = ["Formats", "Node", "NodeConfig", "Unavailable", "strength"]
+__all__ = ["StoreSchema", "Node", "NodeConfig", "Unavailable", "strength"]
 
-# Time that a peer has to answer a question about a job, in seconds; after it the store
-# is asked.
+# Timeout of calls to peers, in seconds. A question about a job goes to the store then.
 PEER_TIMEOUT_S = 0.4
-# Pause between claims of one process: the others claim in the meantime, so that the
-# groups are spread.
+# Delay before a claim for each group that the process owns already, and pause after a
+# failed claim, in seconds. Other processes claim meanwhile, which spreads the groups.
 CLAIM_STEP_S = 0.15
-# Longest head start that a weak process gives to strong ones, in seconds. A claim takes
-# some 10 ms, and its watch shows it within another 10.
+# Delay before a claim of a process of strength 0, in seconds, so that stronger ones
+# claim first. A claim takes about 10 ms, and watches show it 10 ms later.
 WEAK_DELAY_S = 0.3
-# Link from which on it does not limit an owner, in Mbit/s: the owner of 126 workers
-# fills a link of 5, and strong entry VMs of the users have 100.
+# Bandwidth that is ample for an owner, in Mbit/s. The owner of 126 workers saturates a
+# link of 5 Mbit/s; the larger of the users' entry VMs have 100 Mbit/s.
 STRONG_LINK_MBPS = 100.0
-# How many times as strong an idle process must be to be given a group: a change of
-# owner costs some 0.2 s without starts.
+# Ratio of strengths from which a group is handed to a process that owns none. A change
+# of owner costs about 0.2 s in which nothing is started.
 STRONGER = 2.0
-# Workers write their heartbeats under the keys that are watched; this many seconds of
-# them are read together.
+# Pause between two reads of the watch on workers, in seconds. Workers write heartbeats
+# under the watched keys, and those of one pause are read together.
 HEARTBEAT_BATCH_S = 0.25
+# Longest time between two checks for groups without an owner, in seconds.
 CLAIM_CHECK_S = 0.5
-# Time between two looks whether the store is back, before groups are handed over, in
-# seconds.
+# Time between two checks whether the store is reachable before a hand-over, in seconds.
 HAND_OVER_RETRY_S = 0.2
-# Time for the call that ends the lease of a stopping process, in seconds; the lease
-# runs out by itself if it gets no answer.
+# Timeout of the call that ends the lease of a stopping process, in seconds. Without an
+# answer the lease expires by itself.
 END_LEASE_S = 0.5
-# Time between two looks whether the data centre is cut off, in seconds, and peers of
-# others that are asked then.
+# Time between two checks whether the data centre is isolated, in seconds, and number
+# of peers in other data centres that a check calls.
 ISOLATION_CHECK_S = 0.4
 ISOLATION_PEERS = 3
 
 
 def strength(cores: float, link_mbps: float) -> float:
-    """Return how well a process can own a group: 1 for well, towards 0 for badly.
+    """Return a process's capacity to own a group, from 0 to 1 (sufficient).
 
     Parameters
     ----------
     cores : float
-        Processors, in cores of the usual speed.
+        Processor share, in cores of standard speed.
+    link_mbps : float
+        Bandwidth of the network link in Mbit/s.
     """
     return min(1.0, cores, link_mbps / STRONG_LINK_MBPS)
 
 
 class Unavailable(PoplaryardError):
-    """A question about a job that can't be answered now."""
+    """Raised if a call cannot be answered now; the caller may retry."""
 
 
 @dataclass(frozen=True, slots=True)
-class Formats:
-    """Where configuration and workers lie in the store, and how they are decoded.
+class StoreSchema:
+    """Keys and decoders of the configuration and the worker entries in the store.
 
     Attributes
     ----------
+    config_key : str
+        Key of the configuration.
+    worker_prefix : str
+        Prefix of the keys of worker entries; the worker's id follows.
     decode_error : type
         Exception with which the decoders reject a value.
     """
@@ -91,12 +96,12 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """What a process knows of itself.
+    """Identity and limits of a process.
 
     Attributes
     ----------
     peer_address : str
-        Address at which peers reach it.
+        Address at which peers reach the process, "HOST:PORT".
     strength : float
         See `strength`; stronger processes claim groups first.
     """
@@ -109,7 +114,10 @@
 
 
 class _PeerAdvisor:
-    """Asks for advice through a peer, whose calls the service queues separately."""
+    """Advisor that calls the advice service through a peer.
+
+    The service has a separate queue for each process.
+    """
 
     def __init__(self, peers: HttpClient, address: str):
         self._peers = peers
@@ -118,7 +126,7 @@
     async def ask(
         self, step: str, workers: list[str], timeout_s: float, slow: bool = False
     ) -> tuple[dict[str, str], float] | None:
-        """Return tickets by worker and their life in seconds; None if refused."""
+        """Return tickets by worker and their validity in seconds; None if refused."""
         body = {
             "step": step,
             "workers": workers,
@@ -132,7 +140,7 @@
 
 
 class Node:
-    """Application object: owns all parts of a process.
+    """Application object of a process.
 
     Parameters
     ----------
@@ -142,7 +150,19 @@
     advisor : Advisor
     peers : HttpClient
         Client for calls to other processes.
-    formats : Formats
+    schema : StoreSchema
+    clock : Clock
+
+    Attributes
+    ----------
+    stopping : bool
+        Whether the process is handing over its groups before it stops.
+    isolated : bool
+        Whether the process's data centre seems to be cut off from the others.
+    owners : dict of str to GroupOwner
+        Owners of the groups that this process has claimed, by group.
+    direct_storage : Storage
+        Storage that is called without relaying through peers.
     """
 
     def __init__(
@@ -152,7 +172,7 @@
         calls: WorkerCalls,
         advisor: Advisor,
         peers: HttpClient,
-        formats: Formats,
+        schema: StoreSchema,
         clock: Clock,
     ):
         self.cfg = cfg
@@ -166,11 +186,11 @@
         storage = self._relayed
         self._storage = storage
         self._calls = calls
-        self._advisor = OwnLine(advisor)
+        self._advisor = LocalAdvisor(advisor)
         self._peers = peers
-        self._formats = formats
+        self._schema = schema
         self._clock = clock
-        self._acceptance = Acceptance(storage, self._tell_owner)
+        self._acceptance = Acceptance(storage, self._notify_owners)
         member = records.Member(
             cfg.process, cfg.peer_address, cfg.data_centre, cfg.strength
         )
@@ -179,40 +199,43 @@
         self._lease = ProcessLease(storage, clock, member, self._claims_changed.set)
         self._workers: dict[str, WorkerInfo] = {}
         self._unreadable: dict[str, bytes] = {}
-        config_prefix = formats.config_key.rpartition("/")[0] + "/"
-        self._config = Watched(storage, config_prefix, self._config_changed)
+        config_prefix = schema.config_key.rpartition("/")[0] + "/"
+        self._config_watch = Watched(storage, config_prefix, self._config_changed)
         self._claim_watch = Watched(storage, "owner/", self._claim_changed)
         self._members: dict[str, records.Member] = {}
-        self._lines = AdviceLines(self._advisor)
+        self._channels = ChannelPool(self._advisor)
         self._member_watch = Watched(storage, "member/", self._member_changed, 2.0)
         self._worker_watch = Watched(
             storage,
-            formats.worker_prefix,
+            schema.worker_prefix,
             self._worker_changed,
             pause_s=HEARTBEAT_BATCH_S,
         )
         self._tasks: set[asyncio.Task[t.Any]] = set()
-        self._owning: list[asyncio.Task[t.Any]] = []
-        self._worker_task: asyncio.Task[t.Any] | None = None
+        self._ownership_tasks: list[asyncio.Task[t.Any]] = []
+        self._worker_watch_task: asyncio.Task[t.Any] | None = None
 
     @property
     def ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether the load balancer should send new connections here."""
         return not (self.stopping or self.isolated) and bool(self.queues.version)
 
     async def start(self) -> None:
-        """Begin to follow the store and to claim groups."""
-        for watch in (self._config, self._claim_watch, self._member_watch):
+        """Start watching the store and claiming groups."""
+        for watch in (self._config_watch, self._claim_watch, self._member_watch):
             self._spawn(watch.run())
         self._spawn(self._watch_isolation())
-        self._owning = [self._spawn(self._lease.run()), self._spawn(self._claim_loop())]
+        self._ownership_tasks = [
+            self._spawn(self._lease.run()),
+            self._spawn(self._claim_loop()),
+        ]
 
     async def _watch_isolation(self) -> None:
-        """Find out whether this process's data centre is cut off.
+        """Detect whether this process's data centre is cut off from the others.
 
-        It can then serve nobody. Callers should be sent to other data centres, which
-        happens once no process of this one says that it is ready. While the store is
-        down for all, that would not help.
+        An isolated process reports that it is not ready, so that the load balancer
+        sends callers to other data centres. If peers elsewhere can be reached, the
+        store itself is down and sending callers away would not help.
         """
         while True:
             await asyncio.sleep(ISOLATION_CHECK_S)
@@ -223,38 +246,39 @@
             ]
             isolated = False
             if outside and not self._relayed.direct_ok:
-                asked = random.sample(outside, min(ISOLATION_PEERS, len(outside)))
-                answered = await asyncio.gather(*(map(self._answers, asked)))
-                isolated = not any(answered) and not self._relayed.direct_ok
+                sampled = random.sample(outside, min(ISOLATION_PEERS, len(outside)))
+                responses = await asyncio.gather(*(map(self._responds, sampled)))
+                isolated = not any(responses) and not self._relayed.direct_ok
             if isolated != self.isolated:
                 self.isolated = self._acceptance.cut_off = isolated
                 logger.warning("cut off" if isolated else "no longer cut off")
 
-    async def _answers(self, address: str) -> bool:
+    async def _responds(self, address: str) -> bool:
         try:
             await self._peers.get(f"http://{address}/peer/v1/ping", PEER_TIMEOUT_S)
         except PoplaryardError:
             return False
         return True
 
-    async def hand_over(self, patience_s: float = 1.0) -> None:
-        """Give up all groups, so that another process takes them at once.
+    async def hand_over(self, store_timeout_s: float = 1.0) -> None:
+        """Give up all groups, so that other processes can claim them at once.
 
-        While the store is away nobody could take them, so this process goes on.
+        No process can claim a group while the store is unreachable, so this one keeps
+        scheduling until the store answers or the timeout has passed.
 
         Parameters
         ----------
-        patience_s : float
+        store_timeout_s : float
             Longest time to wait for the store, in seconds.
         """
         self.stopping = True
         if self.owners:
             try:
-                await asyncio.wait_for(self._store_back(), patience_s)
+                await asyncio.wait_for(self._wait_for_store(), store_timeout_s)
             except TimeoutError:
                 logger.warning("stopping while the store is away")
         await asyncio.gather(*(owner.close() for owner in self.owners.values()))
-        for task in self._owning:
+        for task in self._ownership_tasks:
             task.cancel()
         try:
             await asyncio.wait_for(self._lease.end(), END_LEASE_S)
@@ -262,54 +286,63 @@
             logger.warning("lease not ended", extra={"reason": "no answer in time"})
         self._lease.drop()
 
-    async def _store_back(self) -> None:
+    async def _wait_for_store(self) -> None:
         while True:
             if await self._lease.check():
                 return
             await asyncio.sleep(HAND_OVER_RETRY_S)
 
     async def stop(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks and wait for their end."""
         for owner in self.owners.values():
             owner.abandon()
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    # What callers ask for
+    # Client calls
 
-    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> Accepted:
+    async def submit(self, spec: JobSpec, retry_window_s: float = 0.0) -> Accepted:
         """Store a job; see `Acceptance.submit`."""
         if self._relayed.away:
-            # Nothing was tried, so the caller may be told that the job never runs.
+            # No write was tried, so it is certain that the job will not run.
             extra = {"request": spec.job_id, "reason": "the store does not answer"}
             logger.info("job refused", extra=extra)
             self.meters.count("poplaryard_jobs_total", Accepted.REFUSED.value)
             return Accepted.REFUSED
         began = self._clock.now()
-        accepted = await self._acceptance.submit(spec, patience_s)
+        accepted = await self._acceptance.submit(spec, retry_window_s)
         self.meters.count("poplaryard_jobs_total", accepted.value)
         self.meters.observe("poplaryard_accept_seconds", self._clock.now() - began)
         return accepted
 
     async def state(self, queue: Queue, job_id: str) -> JobState | None:
-        """Return the state of a job, or None if there is none.
+        """Return the state of a job, or None if there is no such job.
 
-        Raises `Unavailable` if neither its owner nor the store answers.
+        Raises
+        ------
+        Unavailable
+            If neither the owner of the job's group nor the store answers.
         """
-        for group in self._groups_of(queue):
+        for group in self._candidate_groups(queue):
             state = await self._state_at_owner(group, job_id)
             if state is not None:
                 return state
-        for group in self._groups_of(queue):
+        for group in self._candidate_groups(queue):
             state = await self._stored_state(group, job_id)
             if state is not None:
                 return state
         return None
 
     async def cancel(self, queue: Queue, job_id: str) -> bool:
-        """Cancel a job; False if there is none. Raises `Unavailable`."""
-        for group in self._groups_of(queue):
+        """Cancel a job; return False if there is no such job.
+
+        Raises
+        ------
+        Unavailable
+            If the store does not answer.
+        """
+        for group in self._candidate_groups(queue):
             key = records.job_key(group, job_id)
             try:
                 item = await self._storage.get(key)
@@ -322,12 +355,18 @@
             logger.info("job cancelled", extra={"request": job_id})
             revision = found if isinstance(found, int) else 0
             stored = records.Stored(group, revision, cancelled=[job_id])
-            self._tell_owner_of(stored)
+            self._notify_owner(stored)
             return True
         return False
 
     async def pending(self, queue: Queue) -> int:
-        """Return the number of a queue's jobs of which nothing has started."""
+        """Return how many jobs of a queue have not started.
+
+        Raises
+        ------
+        Unavailable
+            If the owner of the queue's group does not answer.
+        """
         owner = self.owners.get(queue.group)
         if owner is not None:
             count = owner.pending(queue.name)
@@ -338,37 +377,40 @@
             raise _unavailable("the owner of the group does not answer")
         return found["pending"]
 
-    def _tell_owner(self, specs: list[JobSpec], revision: int) -> None:
-        """Tell the owners of jobs that were stored, without waiting for an answer."""
+    def _notify_owners(self, specs: list[JobSpec], revision: int) -> None:
+        """Notify the groups' owners of stored jobs, without waiting for an answer."""
         for group in {spec.group for spec in specs}:
-            mine = [spec for spec in specs if spec.group == group]
-            self._tell_owner_of(records.Stored(group, revision, mine))
+            group_specs = [spec for spec in specs if spec.group == group]
+            self._notify_owner(records.Stored(group, revision, group_specs))
 
-    def _tell_owner_of(self, stored: records.Stored) -> None:
+    def _notify_owner(self, stored: records.Stored) -> None:
         owner = self.owners.get(stored.group)
         if owner is not None:
-            owner.stored(stored)
+            owner.jobs_stored(stored)
         elif stored.group in self._claims:
             address = self._claims[stored.group][0].address
-            self._spawn(self._send_stored(address, records.encode(stored)))
+            self._spawn(self._send_notification(address, records.encode(stored)))
 
-    async def _send_stored(self, address: str, body: bytes) -> None:
+    async def _send_notification(self, address: str, body: bytes) -> None:
         url = f"http://{address}/peer/v1/stored"
         try:
             await self._peers.raw("POST", url, body, PEER_TIMEOUT_S)
         except PoplaryardError as exc:
-            # The owner's watch reports the jobs a little later.
+            # The owner learns of the jobs from its watch instead, a little later.
             logger.info("owner not told of jobs", extra={"reason": exc.detail})
 
     def jobs_stored(self, body: bytes) -> None:
-        """Take jobs that a peer stored; raises `msgspec.DecodeError`."""
+        """Handle a peer's notification of stored jobs; raises `msgspec.DecodeError`."""
         stored = records.decode_stored(body)
         owner = self.owners.get(stored.group)
         if owner is not None:
-            owner.stored(stored)
+            owner.jobs_stored(stored)
 
     def answer_peer(self, body: t.Any) -> dict[str, t.Any]:
-        """Answer another process's question about a group that this one owns."""
+        """Answer a peer's query about a queue or a job of a group owned here.
+
+        Returns ``{"owner": False}`` if this process cannot answer for the group.
+        """
         owner = self.owners.get(str(body.get("group")))
         if owner is None or not owner.loaded or not self._lease.has_authority():
             return {"owner": False}
@@ -376,8 +418,12 @@
             return {"owner": True, "pending": owner.pending(str(body["queue"]))}
         return {"owner": True, "state": owner.state(str(body.get("job")))}
 
-    def _groups_of(self, queue: Queue) -> list[str]:
-        """Return the queue's group, then those it may have had before."""
+    def _candidate_groups(self, queue: Queue) -> list[str]:
+        """Return all groups, the queue's present one first.
+
+        A change of configuration may have moved the queue, and its older jobs are
+        still stored under its earlier group.
+        """
         others = [group for group in self.queues.groups if group != queue.group]
         return [queue.group, *others]
 
@@ -389,14 +435,14 @@
         state = found.get("state") if found else None
         return JobState(state) if state else None
 
-    async def _ask_owner(self, group: str, question: t.Any) -> dict[str, t.Any] | None:
+    async def _ask_owner(self, group: str, query: t.Any) -> dict[str, t.Any] | None:
         claim = self._claims.get(group)
         if claim is None or claim[0].process == self.cfg.process:
             return None
         url = f"http://{claim[0].address}/peer/v1/ask"
         try:
             reply = await self._peers.post(
-                url, {"group": group, **question}, PEER_TIMEOUT_S
+                url, {"group": group, **query}, PEER_TIMEOUT_S
             )
         except PoplaryardError as exc:
             extra = {"peer": claim[0].process, "reason": exc.detail}
@@ -417,14 +463,14 @@
             raise Unavailable(exc.code, exc.detail) from exc
         return JobState.QUEUED if job is not None else None
 
-    # What the store tells
+    # Store watches
 
     def _config_changed(self, change: Change) -> None:
-        if change.key != self._formats.config_key or change.item is None:
+        if change.key != self._schema.config_key or change.item is None:
             return
         try:
-            queues = self._formats.decode_config(change.item.value)
-        except self._formats.decode_error as exc:
+            queues = self._schema.decode_config(change.item.value)
+        except self._schema.decode_error as exc:
             extra = {"key": change.key, "reason": str(exc)}
             logger.error("unreadable configuration", extra=extra)
             return
@@ -442,10 +488,10 @@
         self._claims_changed.set()
         if change.item is None:
             self._claims.pop(group, None)
-            self._set_lines()
+            self._update_channels()
             if group in self.owners:
                 logger.warning("claim removed", extra={"group": group})
-                self._drop(group)
+                self._drop_group(group)
             return
         try:
             claim = records.decode_claim(change.item.value)
@@ -453,10 +499,10 @@
             logger.error("unreadable claim", extra={"reason": str(exc)})
             return
         self._claims[group] = claim, change.revision
-        self._set_lines()
+        self._update_channels()
         owner = self.owners.get(group)
         if owner is not None and change.revision > owner.revision:
-            self._drop(group)
+            self._drop_group(group)
 
     def _member_changed(self, change: Change) -> None:
         process = change.key.removeprefix("member/")
@@ -467,15 +513,15 @@
                 self._members[process] = member
             except msgspec.DecodeError as exc:
                 logger.error("unreadable member", extra={"reason": str(exc)})
-        self._set_lines()
+        self._update_channels()
 
     def _peer_addresses(self) -> list[str]:
         return [member.address for member in self._members.values()]
 
-    def _set_lines(self) -> None:
-        """Tell the owners through which processes advice may be asked for."""
+    def _update_channels(self) -> None:
+        """Update the processes through which the advice service may be called."""
         owners = {claim.process for claim, _ in self._claims.values()}
-        self._lines.set_peers(
+        self._channels.set_peers(
             {
                 name: (_PeerAdvisor(self._peers, member.address), name in owners)
                 for name, member in self._members.items()
@@ -483,7 +529,10 @@
         )
 
     async def advise(self, body: t.Any) -> dict[str, t.Any] | None:
-        """Ask for advice in the name of this process, for a peer."""
+        """Call the advice service on behalf of a peer; return None if refused.
+
+        Raises `KeyError`, `TypeError` or `ValueError` if the body is malformed.
+        """
         answer = await self._advisor.ask(
             str(body["step"]),
             list(body["workers"]),
@@ -495,13 +544,13 @@
         return {"tickets": answer[0], "life_s": answer[1]}
 
     def _worker_changed(self, change: Change) -> None:
-        worker_id = change.key.removeprefix(self._formats.worker_prefix)
+        worker_id = change.key.removeprefix(self._schema.worker_prefix)
         if change.item is None:
             self._remove_worker(worker_id)
             return
         try:
-            info = self._formats.decode_worker(change.key, change.item.value)
-        except self._formats.decode_error as exc:
+            info = self._schema.decode_worker(change.key, change.item.value)
+        except self._schema.decode_error as exc:
             extra = {"worker": worker_id, "reason": str(exc)}
             logger.warning("unreadable worker entry skipped", extra=extra)
             self._remove_worker(worker_id)
@@ -527,42 +576,46 @@
             if generation != self._lease.generation:
                 generation = self._lease.generation
                 for group in list(self.owners):
-                    self._drop(group)
+                    self._drop_group(group)
             for group, owner in list(self.owners.items()):
                 if owner.closed.is_set():
-                    self._drop(group)
-            wanted = self._unowned()
+                    self._drop_group(group)
+            wanted = self._claimable_group()
             if wanted is not None and self._claim_watch.loaded.is_set():
                 await asyncio.sleep(self._claim_delay())
-                if wanted == self._unowned():
+                if wanted == self._claimable_group():
                     await self._claim(wanted)
                 continue
             self._claims_changed.clear()
             try:
                 await asyncio.wait_for(self._claims_changed.wait(), CLAIM_CHECK_S)
             except TimeoutError:
-                await self._hand_to_stronger()
+                await self._hand_over_to_stronger()
 
-    def _unowned(self) -> str | None:
-        """Return a group without an owner, or that an earlier life of this one had."""
+    def _claimable_group(self) -> str | None:
+        """Return a group to claim, or None.
+
+        That is a group without a claim, or one claimed by an earlier incarnation of
+        this process.
+        """
         if not self._lease.has_lease():
             return None
         for group in self.queues.groups:
             claim = self._claims.get(group)
-            mine = claim is not None and claim[0].process == self.cfg.process
-            if group not in self.owners and (claim is None or mine):
+            own_claim = claim is not None and claim[0].process == self.cfg.process
+            if group not in self.owners and (claim is None or own_claim):
                 return group
         return None
 
     def _claim_delay(self) -> float:
-        """Let processes that own less, and stronger ones, claim first."""
+        """Return the delay that lets less loaded or stronger processes claim first."""
         return CLAIM_STEP_S * len(self.owners) + WEAK_DELAY_S * (1 - self.cfg.strength)
 
-    async def _hand_to_stronger(self) -> None:
-        """Give a group up if a much stronger process owns nothing.
+    async def _hand_over_to_stronger(self) -> None:
+        """Give one group up if a much stronger process owns none.
 
-        A weak process may have claimed it while the strong ones were away. Its link or
-        processor would hold the whole group up.
+        A weak process may have claimed the group while the strong ones were down. Its
+        link or processor would slow the whole group down.
         """
         owners = {claim.process for claim, _ in self._claims.values()}
         idle = [
@@ -577,13 +630,13 @@
                 continue
             logger.info("group handed to a stronger process", extra={"group": group})
             await owner.close()
-            self._drop(group)
+            self._drop_group(group)
             key = records.claim_key(group)
             claim = Transaction(expected={key: owner.revision}, removes=[key])
             try:
                 await self._storage.commit(claim)
             except (StoreDown, StoreReplyLost, LeaseLost) as exc:
-                # The next look claims the group again if the claim is still there.
+                # If the claim is still stored, the next check takes the group back.
                 extra = {"group": group, "reason": exc.detail}
                 logger.warning("claim not removed", extra=extra)
             return
@@ -609,19 +662,19 @@
         if not isinstance(found, int):
             await asyncio.sleep(CLAIM_STEP_S)
             return
-        await self._own(group, claim, found)
+        await self._take_over(group, claim, found)
 
-    async def _own(self, group: str, claim: records.Claim, revision: int) -> None:
+    async def _take_over(self, group: str, claim: records.Claim, revision: int) -> None:
         began = time.monotonic()
-        if self._worker_task is None:
-            self._worker_task = self._spawn(self._worker_watch.run())
+        if self._worker_watch_task is None:
+            self._worker_watch_task = self._spawn(self._worker_watch.run())
         self._claims[group] = claim, revision
         owner = GroupOwner(
             group,
             revision,
             self._storage,
             self._calls,
-            self._lines,
+            self._channels,
             self._lease,
             self._clock,
             self.cfg.limits,
@@ -639,7 +692,7 @@
         except (StoreDown, StoreReplyLost) as exc:
             extra = {"group": group, "reason": exc.detail}
             logger.warning("jobs could not be loaded", extra=extra)
-            self._drop(group)
+            self._drop_group(group)
             await asyncio.sleep(CLAIM_STEP_S)
             return
         for worker_id, info in list(self._workers.items()):
@@ -648,7 +701,7 @@
         took_s = round(time.monotonic() - began, 3)
         logger.info("group owned", extra={"group": group, "took_s": took_s})
 
-    def _drop(self, group: str) -> None:
+    def _drop_group(self, group: str) -> None:
         owner = self.owners.pop(group, None)
         if owner is not None:
             owner.abandon()
@@ -656,10 +709,10 @@
     def _spawn(self, work: t.Coroutine[t.Any, t.Any, t.Any]) -> asyncio.Task[t.Any]:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _ended(self, task: "asyncio.Task[t.Any]") -> None:
+    def _on_task_done(self, task: "asyncio.Task[t.Any]") -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             logger.critical("task ended by an error", exc_info=task.exception())
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -1,4 +1,7 @@
-"""Carries out the decisions for one group of workers."""
+"""Runs the scheduler of one worker group: orders, lease renewals and stored progress.
+
+`Partition` decides; `GroupOwner` calls the workers, the advice service and the store.
+"""
 
 import asyncio
 import functools
@@ -11,7 +14,7 @@
 from ..exceptions import LeaseLost, StoreDown, StoreReplyLost, WorkerUnreachable
 from ..logs import logger
 from . import records
-from .advice import SLOW_S, AdviceLines, Line
+from .advice import SLOW_S, Channel, ChannelPool
 from .membership import GRACE_S, LEASE_TTL_S, ProcessLease
 from .meters import Meters
 from .model import (
@@ -29,38 +32,43 @@
 
 __all__ = ["GroupOwner", "OwnerLimits", "WorkerCalls"]
 
-# Longest time between two looks at what is due, in seconds.
+# Longest time between two scheduling passes, in seconds.
 TICK_S = 0.1
-# Least time between two looks, in seconds, and how many times as long as the last one
-# took. Events that come meanwhile are taken together; under a backlog, looks would
-# otherwise leave no time to renew leases.
+# Shortest pause between two scheduling passes, in seconds, and as a multiple of the
+# duration of the last pass. Events that arrive in the pause are handled together.
+# Without it, passes would leave no time to renew leases under a backlog.
 LOOK_GAP_S = 0.005
 LOOK_GAP_SHARE = 3.0
-# Ends of tasks that do not end their job are written together after this long, in
-# seconds. The worker lists them again until then, so renewals pause meanwhile.
+# Ends of runs that do not end their job are collected for this long before they are
+# written, in seconds. A worker reports an end again until it is written and
+# acknowledged, so lease renewals pause in the meantime.
 NOTE_DELAY_S = 0.04
-# Longest pause of the renewals of a worker whose ends are not written yet, in seconds.
+# Longest such pause of the renewals of one worker, in seconds.
 ENDS_KEPT_S = 0.25
-# Entries that one transaction may have, and those that are needed to order them.
+# Most entries of one transaction, and those that `GroupOwner` adds to each: the
+# expected claim, the expected sequence key and the new sequence key.
 TRANSACTION_ENTRIES = 32
 ORDER_ENTRIES = 3
-# Time that a start has to reach its worker, in seconds. A start that arrives later is
-# refused there, so an order that was held up does not run unexpectedly.
+# Time within which a start must reach its worker, in seconds. The worker refuses a
+# later one, so that a delayed order does not start a run unexpectedly.
 START_WINDOW_S = 1.6
-# Pause between failed renewals of a worker's leases.
+# Pause after a failed lease renewal or a failed write, in seconds.
 HOLD_RETRY_S = 0.15
-# Runs per worker beside which a renewal waits for an end, in seconds.
+# Longest time that a worker may delay its answer to a renewal until a run ends, in
+# seconds.
 HOLD_WAIT_S = 1.0
-# Finished jobs are removed from the store this long after callers may ask for them.
+# Time that finished jobs stay in the store beyond `OwnerLimits.retention_s`, and time
+# between two removals, in seconds.
 FORGET_SLACK_S = 30.0
 FORGET_EVERY_S = 15.0
 # Time between two reads of new jobs and cancellations, in seconds. Processes also
-# tell the owner of the jobs that they store; the watch finds what got lost on the way.
+# notify the owner of the jobs that they store; the watch covers lost notifications.
 JOBS_BATCH_S = 0.1
 # Time between two log lines on the state of a group, in seconds.
 SUMMARY_EVERY_S = 2.0
-# Time between two looks for workers that are gone, in seconds.
+# Time between two updates of the stored list of workers, in seconds.
 PRUNE_EVERY_S = 1.0
+# Jobs removed in one transaction; each has three keys.
 FORGET_BATCH = 10
 
 
@@ -78,10 +86,24 @@
         checkpoint: str = "",
         ticket: str = "",
     ) -> StartOutcome:
-        """Order a worker to start a run."""
+        """Order a worker to start a run.
+
+        Parameters
+        ----------
+        run : int
+            Number of the run.
+        deadline_s : float
+            Latest arrival of the order on the worker's clock, in seconds.
+        fence : int
+            Fencing token: the revision of the owner's claim.
+        checkpoint : str
+            Checkpoint to resume from; empty for none.
+        ticket : str
+            Ticket from the advice service; empty if none is needed.
+        """
 
     async def stop(self, worker: WorkerInfo, task: str, run: int, fence: int) -> bool:
-        """Order a worker to stop a run."""
+        """Order a worker to stop a run; True if it cannot run any more."""
 
     async def hold(
         self,
@@ -91,38 +113,60 @@
         deadline_s: float | None,
         wait_s: float,
     ) -> HoldReport:
-        """Renew the leases of a worker's runs and return what it reports."""
+        """Renew the leases of a worker's runs and return what it reports.
+
+        Parameters
+        ----------
+        acknowledged : int
+            Highest sequence number of an ended run that the worker may forget.
+        deadline_s : float, optional
+            End of the renewed leases on the worker's clock, in seconds; None to
+            renew none.
+        wait_s : float
+            Longest time to wait for a run to end, in seconds.
+
+        Raises
+        ------
+        WorkerUnreachable
+            If the worker gave no valid answer.
+        """
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerLimits:
-    """Bounds that the deployment sets, in seconds.
+    """Limits that the deployment sets, in seconds.
 
     Attributes
     ----------
-    hold_s : float
-        Lease that workers are given for their runs.
-    keep_s : float
+    run_lease_s : float
+        Duration of the lease that workers are given for their runs.
+    retention_s : float
         Time for which callers may ask for a finished job.
+    early_s : float
+        Passed on to `Partition`.
     """
 
-    hold_s: float
-    keep_s: float
+    run_lease_s: float
+    retention_s: float
     early_s: float = 0.0
 
     def quarantine_s(self) -> float:
-        """Return how long a silent worker may hold runs of an earlier owner."""
-        longest_lease_s = self.hold_s / (1 - CLOCK_DRIFT)
+        """Return how long an unreachable worker may run tasks of an earlier owner.
+
+        That is until the earlier owner has lost its authority and the last lease that
+        it gave has lapsed on the worker's clock.
+        """
+        longest_lease_s = self.run_lease_s / (1 - CLOCK_DRIFT)
         return LEASE_TTL_S + GRACE_S + longest_lease_s + LAPSE_SLACK_S
 
 
-def _open(workers: dict[str, Suspect]) -> set[str]:
-    """Return the workers that may be given any task."""
-    return {name for name, found in workers.items() if found.tasks is None}
+def _unrestricted(workers: dict[str, Suspect]) -> set[str]:
+    """Return the workers that may run any task, not only those listed for them."""
+    return {name for name, suspect in workers.items() if suspect.tasks is None}
 
 
-def _release(line: Line, slow: bool, _: "asyncio.Task[t.Any]") -> None:
-    line.release(slow)
+def _release_channel(channel: Channel, slow: bool, _: "asyncio.Task[t.Any]") -> None:
+    channel.release(slow)
 
 
 class GroupOwner:
@@ -130,11 +174,23 @@
 
     Parameters
     ----------
-    claim : Item
-        The owner's key in the store.
+    group : str
+    claim_revision : int
+        Revision of the owner's claim in the store; it is also the fencing token.
+    storage : Storage
+    calls : WorkerCalls
+    channels : ChannelPool
     lease : ProcessLease
-    workers : dict of str to WorkerInfo
-        Workers listed in the store when it took over.
+    clock : Clock
+    limits : OwnerLimits
+    meters : Meters, optional
+
+    Attributes
+    ----------
+    closed : asyncio.Event
+        Set when this process no longer owns the group.
+    loaded : bool
+        Whether the group's jobs have been read from the store.
     """
 
     def __init__(
@@ -143,7 +199,7 @@
         claim_revision: int,
         storage: Storage,
         calls: WorkerCalls,
-        lines: AdviceLines,
+        channels: ChannelPool,
         lease: ProcessLease,
         clock: Clock,
         limits: OwnerLimits,
@@ -155,33 +211,41 @@
         self.revision = claim_revision
         self._storage = storage
         self._calls = calls
-        self._lines = lines
+        self._channels = channels
         self._lease = lease
         self._clock = clock
         self._limits = limits
         self._tasks: set[asyncio.Task[t.Any]] = set()
-        self._holds: dict[str, asyncio.Task[t.Any]] = {}
+        self._renewals: dict[str, asyncio.Task[t.Any]] = {}
         self._wake = asyncio.Event()
-        self._notes_wake = asyncio.Event()
-        self._writing = asyncio.Lock()
-        self._listing = asyncio.Lock()
+        self._write_wake = asyncio.Event()
+        self._commit_lock = asyncio.Lock()
+        self._workers_lock = asyncio.Lock()
         self._sequence = 0
-        self._noted = asyncio.Event()
-        self._known_workers: dict[str, Suspect] = {}
+        self._progress_written = asyncio.Event()
+        self._stored_workers: dict[str, Suspect] = {}
         self._orders_in_flight = 0
-        self._summary_at = clock.now() + SUMMARY_EVERY_S
-        self._prune_at = clock.now() + PRUNE_EVERY_S
-        self._forget_at = clock.now() + FORGET_EVERY_S
+        self._next_summary_at = clock.now() + SUMMARY_EVERY_S
+        self._next_prune_at = clock.now() + PRUNE_EVERY_S
+        self._next_removal_at = clock.now() + FORGET_EVERY_S
         self.partition: Partition | None = None
         self.loaded = False
 
     async def start(self, workers: dict[str, WorkerInfo]) -> None:
-        """Load the group's jobs and begin to schedule them."""
+        """Load the group's jobs and begin to schedule them.
+
+        Parameters
+        ----------
+        workers : dict of str to WorkerInfo
+            Workers listed in the store, by id.
+        """
         began = self._clock.now()
         sequence = await self._storage.get(records.sequence_key(self.group))
         self._sequence = sequence.revision if sequence is not None else 0
-        suspects = await self._suspects()
-        silent = {name for name, found in suspects.items() if found.tasks is not None}
+        suspects = await self._load_suspects()
+        silent = {
+            name for name, suspect in suspects.items() if suspect.tasks is not None
+        }
         progress, _ = await self._storage.scan(records.progress_prefix(self.group))
         now = self._clock.now()
         self.partition = Partition(
@@ -193,8 +257,8 @@
             self._limits.early_s,
             self._meters,
         )
-        self._known_workers = suspects
-        self._progress = {item.key: item.value for item in progress}
+        self._stored_workers = suspects
+        self._stored_progress = {item.key: item.value for item in progress}
         watch = Watched(
             self._storage,
             records.job_prefix(self.group),
@@ -202,15 +266,15 @@
             pause_s=JOBS_BATCH_S,
         )
         await watch.reload()
-        self._progress.clear()
-        await self._keep_workers(set(workers) - silent)
-        self.partition.keep_workers(_open(self._known_workers))
+        self._stored_progress.clear()
+        await self._record_workers(set(workers) - silent)
+        self.partition.keep_workers(_unrestricted(self._stored_workers))
         self.loaded = True
         self._meters.count("poplaryard_owner_changes_total", "taken over")
         self._meters.observe("poplaryard_take_over_seconds", self._clock.now() - began)
         for name, suspect in suspects.items():
             if name not in workers and suspect.address:
-                self._hold(self.partition.suspect_unlisted(name, suspect))
+                self._start_renewals(self.partition.suspect_unlisted(name, suspect))
         for info in workers.values():
             self.worker_listed(info)
         logger.info(
@@ -223,11 +287,11 @@
                 "took_s": round(self._clock.now() - began, 3),
             },
         )
-        for loop in (watch.run(), self._advance_loop(), self._notes_loop()):
+        for loop in (watch.run(), self._scheduling_loop(), self._write_loop()):
             self._spawn(loop)
 
     async def close(self) -> None:
-        """Stop giving orders; let those on their way be answered."""
+        """Stop starting runs, wait up to 0.2 s for orders in flight, and close."""
         if self.partition is not None:
             self.partition.accepts_starts = False
         for _ in range(20):
@@ -237,12 +301,12 @@
         self.abandon()
 
     def abandon(self) -> None:
-        """Stop at once, as when another process owns the group."""
+        """Close at once and cancel all tasks."""
         if not self.closed.is_set():
             self._meters.count("poplaryard_owner_changes_total", "given up")
             logger.info("group given up", extra={"group": self.group})
         self.closed.set()
-        for task in [*self._tasks, *self._holds.values()]:
+        for task in [*self._tasks, *self._renewals.values()]:
             task.cancel()
 
     def state(self, job_id: str) -> JobState | None:
@@ -252,7 +316,7 @@
         return self.partition.jobs[job_id].state
 
     def pending(self, queue: str) -> int | None:
-        """Return the number of a queue's jobs of which nothing has started."""
+        """Return how many jobs of a queue have not started, or None if not loaded."""
         if self.partition is None or not self.loaded:
             return None
         return self.partition.pending(queue)
@@ -260,31 +324,31 @@
     # Workers
 
     def worker_listed(self, info: WorkerInfo) -> None:
-        """Take the entry of a worker.
+        """Handle a new or changed entry of a worker.
 
-        Nothing is asked of workers before the jobs are loaded: ends of tasks that are
-        not known yet would be acknowledged and forgotten.
+        No worker is called before the jobs are loaded: it would report ends of tasks
+        that are not known yet, and these would be acknowledged and lost.
         """
         if self.partition is None or not self.loaded:
             return
-        self._hold(self.partition.worker_listed(info, self._clock.now()))
+        self._start_renewals(self.partition.worker_listed(info, self._clock.now()))
 
-    def _hold(self, worker: Worker) -> None:
+    def _start_renewals(self, worker: Worker) -> None:
         name = worker.worker_id
-        if name not in self._holds:
-            task = asyncio.create_task(self._hold_loop(worker))
-            self._holds[name] = task
-            task.add_done_callback(lambda _: self._holds.pop(name, None))
-            task.add_done_callback(self._log_end)
+        if name not in self._renewals:
+            task = asyncio.create_task(self._renewal_loop(worker))
+            self._renewals[name] = task
+            task.add_done_callback(lambda _: self._renewals.pop(name, None))
+            task.add_done_callback(self._on_task_done)
 
     def worker_unlisted(self, worker_id: str) -> None:
-        """Take the removal of a worker's entry."""
+        """Handle the removal of a worker's entry."""
         if self.partition is not None:
             self.partition.worker_unlisted(worker_id, self._clock.now())
             self._wake.set()
 
-    async def _hold_loop(self, worker: Worker) -> None:
-        """Renew a worker's leases for as long as it may hold runs."""
+    async def _renewal_loop(self, worker: Worker) -> None:
+        """Renew the leases of a worker's runs for as long as it may have any."""
         partition = t.cast(Partition, self.partition)
         while partition.is_watched(worker, self._clock.now()):
             if not self._lease.has_authority():
@@ -294,7 +358,7 @@
             reachable = worker.reachable
             deadline = None
             if reachable:
-                deadline = worker.clock_now(sent_at) + self._limits.hold_s
+                deadline = worker.clock_now(sent_at) + self._limits.run_lease_s
                 worker.granted_s = max(worker.granted_s, deadline)
             acked = worker.acked_seq
             wait_s = HOLD_WAIT_S if reachable and worker.synced else 0.0
@@ -314,21 +378,25 @@
                 await asyncio.sleep(HOLD_RETRY_S)
                 continue
             partition.hold_answered(worker, report, sent_at, self._clock.now())
-            if worker.listed and not self._open_to_work(worker.worker_id):
-                await self._keep_workers({worker.worker_id})
-            self._changed()
+            if worker.listed and not self._stored_unrestricted(worker.worker_id):
+                await self._record_workers({worker.worker_id})
+            self._wake_loops()
             if worker.acked_seq < worker.seen_seq:
-                await self._ends_kept()
+                await self._wait_for_write()
         logger.info("worker dropped", extra={"worker": worker.worker_id})
 
-    async def _ends_kept(self) -> None:
-        """Wait until ends are written: a worker answers at once while it has some."""
+    async def _wait_for_write(self) -> None:
+        """Wait until reported ends are written, for at most `ENDS_KEPT_S` seconds.
+
+        A worker with unacknowledged ends answers a renewal at once, so the next one
+        before that would be a busy loop.
+        """
         try:
-            await asyncio.wait_for(self._noted.wait(), ENDS_KEPT_S)
+            await asyncio.wait_for(self._progress_written.wait(), ENDS_KEPT_S)
         except TimeoutError:
             return
 
-    async def _suspects(self) -> dict[str, Suspect]:
+    async def _load_suspects(self) -> dict[str, Suspect]:
         item = await self._storage.get(records.workers_key(self.group))
         if item is None:
             return {}
@@ -338,47 +406,51 @@
             logger.error("unreadable list of workers", extra={"reason": str(exc)})
             return {}
 
-    def _open_to_work(self, worker_id: str) -> bool:
-        """Whether a later owner knows that the worker may hold any task."""
-        known = self._known_workers.get(worker_id)
-        return known is not None and known.tasks is None
+    def _stored_unrestricted(self, worker_id: str) -> bool:
+        """Return whether the store says that the worker may run any task."""
+        stored = self._stored_workers.get(worker_id)
+        return stored is not None and stored.tasks is None
 
-    async def _keep_workers(self, added: set[str]) -> None:
-        """Write which workers may hold work before any is started on new ones."""
-        while not all(map(self._open_to_work, added)):
+    async def _record_workers(self, added: set[str]) -> None:
+        """Store that these workers may run any task, before one is started there.
+
+        The next owner of the group reads the list to know which workers may have runs.
+        """
+        while not all(map(self._stored_unrestricted, added)):
             if not await self._write_workers(added):
                 await asyncio.sleep(HOLD_RETRY_S)
 
-    async def _list_workers(self) -> None:
-        """List workers that came back, and take off those that are gone.
+    async def _update_workers(self) -> None:
+        """Update the stored workers: add those that came back, remove those gone.
 
-        A later owner waits for all that are listed.
+        The next owner waits for all workers that are stored.
         """
         partition = t.cast(Partition, self.partition)
-        if self._known_workers != partition.may_hold_work(self._clock.now()):
+        if self._stored_workers != partition.may_hold_work(self._clock.now()):
             await self._write_workers(set())
 
     async def _write_workers(self, added: set[str]) -> bool:
         partition = t.cast(Partition, self.partition)
-        async with self._listing:
-            wanted = partition.may_hold_work(self._clock.now())
+        async with self._workers_lock:
+            workers = partition.may_hold_work(self._clock.now())
             for name in added:
-                found = wanted.get(name, Suspect())
-                wanted[name] = Suspect(found.address, found.draining)
-            both = {name for name in wanted if self._open_to_work(name)}
-            partition.keep_workers(_open(wanted) & both)
-            transaction = self._owned()
-            value = records.encode(wanted)
+                suspect = workers.get(name, Suspect())
+                workers[name] = Suspect(suspect.address, suspect.draining)
+            # Either list may be in force until the outcome of the write is known.
+            in_both = {name for name in workers if self._stored_unrestricted(name)}
+            partition.keep_workers(_unrestricted(workers) & in_both)
+            transaction = self._new_transaction()
+            value = records.encode(workers)
             transaction.puts.append((records.workers_key(self.group), value, 0))
             if not await self._commit(transaction):
                 return False
-            self._known_workers = wanted
-            partition.keep_workers(_open(wanted))
+            self._stored_workers = workers
+            partition.keep_workers(_unrestricted(workers))
             return True
 
-    # Decisions
+    # Scheduling
 
-    async def _advance_loop(self) -> None:
+    async def _scheduling_loop(self) -> None:
         partition = t.cast(Partition, self.partition)
         while True:
             now = self._clock.now()
@@ -443,34 +515,36 @@
 
     def _ask_advice(self, now: float) -> None:
         partition = t.cast(Partition, self.partition)
-        lines = {slow: self._lines.pick(slow, now) for slow in (False, True)}
+        channels = {slow: self._channels.select(slow, now) for slow in (False, True)}
 
-        def fits(cost_s: float) -> bool:
-            return lines[cost_s > SLOW_S] is not None
+        def has_channel(cost_s: float) -> bool:
+            return channels[cost_s > SLOW_S] is not None
 
-        for request in partition.advice_wanted(now, fits):
+        for request in partition.advice_wanted(now, has_channel):
             slow = request.cost_s > SLOW_S
-            line = t.cast(Line, lines[slow])
-            self._lines.take(line, slow, now)
-            task = self._spawn(self._advise(line, request))
-            task.add_done_callback(functools.partial(_release, line, slow))
-            lines = {kind: self._lines.pick(kind, now) for kind in (False, True)}
-
-    async def _advise(self, line: Line, request: AdviceRequest) -> None:
+            channel = t.cast(Channel, channels[slow])
+            self._channels.acquire(channel, slow, now)
+            task = self._spawn(self._advise(channel, request))
+            task.add_done_callback(functools.partial(_release_channel, channel, slow))
+            channels = {
+                kind: self._channels.select(kind, now) for kind in (False, True)
+            }
+
+    async def _advise(self, channel: Channel, request: AdviceRequest) -> None:
         partition = t.cast(Partition, self.partition)
         sent_at = self._clock.now()
         tickets, until = None, 0.0
         try:
-            answer = await self._lines.ask(
-                line,
+            answer = await self._channels.ask(
+                channel,
                 request.step.name,
                 list(request.workers),
                 request.cost_s,
                 self._clock.now,
             )
             if answer is not None:
-                tickets, life_s = answer
-                until = sent_at + request.cost_s + life_s
+                tickets, valid_s = answer
+                until = sent_at + request.cost_s + valid_s
         finally:
             now = self._clock.now()
             partition.advice_answered(request, tickets, until, now)
@@ -483,7 +557,7 @@
                     "request": request.step.job.spec.job_id,
                     "step": request.step.name,
                     "queue": request.step.job.spec.queue,
-                    "line": line.name,
+                    "line": channel.name,
                     "asked": len(request.workers),
                     "good": len(tickets or ()),
                     "expected_s": round(request.cost_s, 3),
@@ -491,7 +565,7 @@
                 },
             )
 
-    # The store
+    # Store
 
     def _job_changed(self, change: Change) -> None:
         partition = t.cast(Partition, self.partition)
@@ -502,12 +576,12 @@
         self._wake.set()
         if name.endswith(records.CANCEL_SUFFIX):
             partition.cancel(name.removesuffix(records.CANCEL_SUFFIX), now)
-            self._changed()
+            self._wake_loops()
             return
         try:
             spec = records.decode_job(change.item.value)
-            kept = self._progress.get(records.progress_key(self.group, name))
-            progress = records.decode_progress(kept) if kept else None
+            value = self._stored_progress.get(records.progress_key(self.group, name))
+            progress = records.decode_progress(value) if value else None
         except msgspec.DecodeError as exc:
             extra = {"request": name, "reason": str(exc)}
             logger.error("unreadable job in the store", extra=extra)
@@ -519,8 +593,8 @@
             self._log_job(spec, fresh)
         partition.add_job(spec, now, fresh, progress)
 
-    def stored(self, stored: records.Stored) -> None:
-        """Take what a process has stored, before the watch reports it."""
+    def jobs_stored(self, stored: records.Stored) -> None:
+        """Handle jobs and cancellations that a process stored, ahead of the watch."""
         if self.partition is None or not self.loaded:
             return
         now = self._clock.now()
@@ -532,7 +606,7 @@
                 self._wake.set()
         for job_id in stored.cancelled:
             self.partition.cancel(job_id, now)
-            self._changed()
+            self._wake_loops()
 
     def _log_job(self, spec: JobSpec, fresh: bool) -> None:
         logger.info(
@@ -547,43 +621,43 @@
             },
         )
 
-    async def _notes_loop(self) -> None:
+    async def _write_loop(self) -> None:
         partition = t.cast(Partition, self.partition)
         while True:
             if not partition.notes_urgent:
-                await self._pause_notes()
+                await self._wait_for_urgent_progress()
             now = self._clock.now()
-            if partition.has_notes and not await self._write_notes():
+            if partition.has_notes and not await self._write_progress():
                 await asyncio.sleep(HOLD_RETRY_S)
-            if now >= self._summary_at:
-                self._summary_at = now + SUMMARY_EVERY_S
+            if now >= self._next_summary_at:
+                self._next_summary_at = now + SUMMARY_EVERY_S
                 figures = partition.summary(now)
                 logger.info("group state", extra={"group": self.group, **figures})
                 for name, value in figures.items():
                     labels = {"group": self.group, "figure": name}
                     self._meters.set("poplaryard_group", labels, value)
-            if now >= self._prune_at:
-                self._prune_at = now + PRUNE_EVERY_S
-                await self._list_workers()
-            if now >= self._forget_at:
-                self._forget_at = now + FORGET_EVERY_S
-                await self._forget()
-
-    async def _pause_notes(self) -> None:
-        """Wait for an urgent note, or for the time to look for others."""
-        self._notes_wake.clear()
+            if now >= self._next_prune_at:
+                self._next_prune_at = now + PRUNE_EVERY_S
+                await self._update_workers()
+            if now >= self._next_removal_at:
+                self._next_removal_at = now + FORGET_EVERY_S
+                await self._remove_finished()
+
+    async def _wait_for_urgent_progress(self) -> None:
+        """Wait for urgent progress, for at most `NOTE_DELAY_S` seconds."""
+        self._write_wake.clear()
         try:
-            await asyncio.wait_for(self._notes_wake.wait(), NOTE_DELAY_S)
+            await asyncio.wait_for(self._write_wake.wait(), NOTE_DELAY_S)
         except TimeoutError:
             return
 
-    def _changed(self) -> None:
-        """Look at what can be started or has to be written now."""
+    def _wake_loops(self) -> None:
+        """Start a scheduling pass, and write progress now if it is urgent."""
         self._wake.set()
         if self.partition is not None and self.partition.notes_urgent:
-            self._notes_wake.set()
+            self._write_wake.set()
 
-    async def _write_notes(self) -> bool:
+    async def _write_progress(self) -> bool:
         partition = t.cast(Partition, self.partition)
         notes = partition.take_notes()
         began = self._clock.now()
@@ -593,25 +667,25 @@
         ]
         size = TRANSACTION_ENTRIES - ORDER_ENTRIES
         for begin in range(0, len(entries), size):
-            transaction = self._owned()
+            transaction = self._new_transaction()
             transaction.puts = entries[begin : begin + size]
             if not await self._commit(transaction):
                 partition.notes_failed(notes)
                 return False
         partition.notes_written(notes)
         self._meters.observe("poplaryard_note_seconds", self._clock.now() - began)
-        self._noted.set()
-        self._noted.clear()
+        self._progress_written.set()
+        self._progress_written.clear()
         return True
 
-    async def _forget(self) -> None:
-        """Remove jobs that ended long ago from the store."""
+    async def _remove_finished(self) -> None:
+        """Remove jobs whose retention time has passed from the store."""
         partition = t.cast(Partition, self.partition)
-        before = self._clock.wall() - self._limits.keep_s - FORGET_SLACK_S
-        old = partition.forget_finished(before)
-        for begin in range(0, len(old), FORGET_BATCH):
-            transaction = self._owned()
-            for job_id in old[begin : begin + FORGET_BATCH]:
+        before = self._clock.wall() - self._limits.retention_s - FORGET_SLACK_S
+        expired = partition.forget_finished(before)
+        for begin in range(0, len(expired), FORGET_BATCH):
+            transaction = self._new_transaction()
+            for job_id in expired[begin : begin + FORGET_BATCH]:
                 transaction.removes += [
                     records.job_key(self.group, job_id),
                     records.cancel_key(self.group, job_id),
@@ -619,18 +693,18 @@
                 ]
             await self._commit(transaction)
 
-    def _owned(self) -> Transaction:
-        """Return a transaction that only succeeds for the present owner."""
+    def _new_transaction(self) -> Transaction:
+        """Return a transaction that fails if the group has another owner."""
         return Transaction(expected={records.claim_key(self.group): self.revision})
 
     async def _commit(self, transaction: Transaction) -> bool:
-        """Write as the owner, after the owner's earlier writes.
+        """Commit a transaction of the owner; return True if it is known to be written.
 
         A write without an answer may be carried out seconds later. Every write replaces
-        the sequence key and requires its last revision, so a late one fails instead of
-        undoing newer progress.
+        the sequence key and requires its last revision, so a delayed write fails
+        instead of overwriting newer progress.
         """
-        async with self._writing:
+        async with self._commit_lock:
             key = records.sequence_key(self.group)
             transaction.expected[key] = self._sequence
             transaction.puts.append((key, b"", 0))
@@ -658,11 +732,11 @@
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        task.add_done_callback(self._log_end)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _log_end(self, task: "asyncio.Task[t.Any]") -> None:
-        """Give the group up if one of its tasks failed: another process takes over."""
+    def _on_task_done(self, task: "asyncio.Task[t.Any]") -> None:
+        """Give the group up if a task failed, so that another process takes over."""
         if task.cancelled() or task.exception() is None:
             return
         logger.critical("task ended by an error", exc_info=task.exception())
--- a/tests/platform/test_system.py
+++ b/tests/platform/test_system.py
@@ -16,11 +16,13 @@
 from poplaryard.platform.services import AdviceClient, WorkerClient
 from poplaryard.platform.store import PlatformStore
 from poplaryard.server import HttpServer
-from poplaryard.workload.node import Formats, Node, NodeConfig
+from poplaryard.workload.node import Node, NodeConfig, StoreSchema
 from poplaryard.workload.owner import OwnerLimits
 from tests.platform.standin import PlatformStandIn, config
 
-FORMATS = Formats(CONFIG_KEY, WORKER_PREFIX, decode_config, decode_worker, DecodeFailed)
+SCHEMA = StoreSchema(
+    CONFIG_KEY, WORKER_PREFIX, decode_config, decode_worker, DecodeFailed
+)
 JOB = {"spec": "text", "steps": [{"count": 2, "cpu": 1000, "estimate_ms": 100}]}
 
 
@@ -39,7 +41,7 @@
             WorkerClient(self.client, 0.7),
             AdviceClient(self.client, platform.store_address),
             self.client,
-            FORMATS,
+            SCHEMA,
             SystemClock(),
         )
         self.front = PlatformFront(self.node, lambda: None)
--- a/tests/workload/test_advice.py
+++ b/tests/workload/test_advice.py
@@ -1,17 +1,17 @@
-"""Advice that is slow, and served one call at a time for each process."""
+"""Tests of calls to an advice service that handles one call per process at a time."""
 
 import asyncio
 
 from poplaryard.codes import Code
 from poplaryard.exceptions import PoplaryardError
-from poplaryard.workload.advice import AdviceLines, OwnLine
+from poplaryard.workload.advice import ChannelPool, LocalAdvisor
 
 
-class Service:
-    """Advice service for one process; calls wait for each other."""
+class FakeService:
+    """Advice service as one process sees it: calls are handled one at a time."""
 
     def __init__(self, slow_s=0.2, quick_s=0.01):
-        self.times = {True: slow_s, False: quick_s}
+        self.durations_s = {True: slow_s, False: quick_s}
         self.calls = []
         self.fails = False
         self._lock = asyncio.Lock()
@@ -21,7 +21,7 @@
         if self.fails:
             raise PoplaryardError(Code.PEER_TIMEOUT)
         async with self._lock:
-            await asyncio.sleep(self.times[slow])
+            await asyncio.sleep(self.durations_s[slow])
         return dict.fromkeys(workers, "t"), 2.0
 
 
@@ -29,39 +29,42 @@
     return asyncio.get_running_loop().time()
 
 
-async def ask(lines, step, cost_s):
+async def ask(pool, step, cost_s):
     slow = cost_s > 0.1
-    line = lines.pick(slow, clock())
-    if line is None:
+    channel = pool.select(slow, clock())
+    if channel is None:
         return None
-    lines.take(line, slow, clock())
+    pool.acquire(channel, slow, clock())
     try:
-        return await lines.ask(line, step, ["w0"], cost_s, clock)
+        return await pool.ask(channel, step, ["w0"], cost_s, clock)
     finally:
-        line.release(slow)
+        channel.release(slow)
 
 
-def test_calls_decided_at_the_same_time_use_different_lines():
-    """Guards against one line that is picked again before its call has begun."""
-    lines = AdviceLines(OwnLine(Service()))
-    lines.set_peers({f"p{n}": (OwnLine(Service()), False) for n in range(2)})
-    first = lines.pick(True, 1.0)
-    lines.take(first, True, 1.0)
-    assert lines.pick(True, 1.0) is not first
+def test_calls_begun_at_the_same_time_use_different_channels():
+    """Guards against a channel that is selected twice before its first call starts."""
+    pool = ChannelPool(LocalAdvisor(FakeService()))
+    pool.set_peers({f"p{n}": (LocalAdvisor(FakeService()), False) for n in range(2)})
+    first = pool.select(True, 1.0)
+    pool.acquire(first, True, 1.0)
+    assert pool.select(True, 1.0) is not first
 
 
 def test_quick_calls_never_wait_behind_slow_ones():
-    """Pattern: short checks beside services whose advice takes half a second."""
+    """Guards against quick calls delayed by slow ones.
+
+    Some queues have short tasks, while advice for others takes half a second.
+    """
 
     async def run():
-        own, peer = Service(), Service()
-        lines = AdviceLines(OwnLine(own))
-        lines.set_peers({"p2": (OwnLine(peer), False)})
-        await ask(lines, "quick", 0.02)
-        slow = asyncio.create_task(ask(lines, "slow", 0.5))
+        own, peer = FakeService(), FakeService()
+        pool = ChannelPool(LocalAdvisor(own))
+        pool.set_peers({"p2": (LocalAdvisor(peer), False)})
+        await ask(pool, "quick", 0.02)
+        slow = asyncio.create_task(ask(pool, "slow", 0.5))
         await asyncio.sleep(0.01)
         began = clock()
-        assert await ask(lines, "quick", 0.02) is not None
+        assert await ask(pool, "quick", 0.02) is not None
         assert clock() - began < 0.1
         await slow
         assert "slow" in peer.calls
@@ -70,17 +73,20 @@
     asyncio.run(run())
 
 
-def test_slow_calls_use_all_lines_of_processes_that_own_nothing():
-    """Pattern: many gangs wait for advice after a restart."""
+def test_slow_calls_use_all_channels_of_processes_that_own_nothing():
+    """Guards against slow calls made one after the other.
+
+    After a restart many gangs wait for advice at once.
+    """
 
     async def run():
-        services = [Service() for _ in range(4)]
-        lines = AdviceLines(OwnLine(Service()))
-        peers = {f"p{n}": (OwnLine(s), n == 0) for n, s in enumerate(services)}
-        lines.set_peers(peers)
-        await ask(lines, "quick", 0.02)
+        services = [FakeService() for _ in range(4)]
+        pool = ChannelPool(LocalAdvisor(FakeService()))
+        peers = {f"p{n}": (LocalAdvisor(s), n == 0) for n, s in enumerate(services)}
+        pool.set_peers(peers)
+        await ask(pool, "quick", 0.02)
         began = clock()
-        found = await asyncio.gather(*(ask(lines, f"s{n}", 0.5) for n in range(3)))
+        found = await asyncio.gather(*(ask(pool, f"s{n}", 0.5) for n in range(3)))
         assert None not in found
         assert clock() - began < 0.4
         assert services[0].calls == []
@@ -88,29 +94,29 @@
     asyncio.run(run())
 
 
-def test_line_that_another_owner_uses_is_refused_at_once():
+def test_quick_call_behind_a_slow_one_is_refused_at_once():
     async def run():
-        service = Service()
-        line = OwnLine(service)
-        slow = asyncio.create_task(line.ask("slow", ["w0"], 1.0, True))
+        service = FakeService()
+        advisor = LocalAdvisor(service)
+        slow = asyncio.create_task(advisor.ask("slow", ["w0"], 1.0, True))
         await asyncio.sleep(0.01)
-        assert await line.ask("quick", ["w0"], 1.0, False) is None
+        assert await advisor.ask("quick", ["w0"], 1.0, False) is None
         assert await slow is not None
-        assert await line.ask("quick", ["w0"], 1.0, False) is not None
+        assert await advisor.ask("quick", ["w0"], 1.0, False) is not None
 
     asyncio.run(run())
 
 
-def test_line_that_failed_is_left_alone_for_a_while():
-    """Guards against asking again and again through a process that is cut off."""
+def test_failed_channel_is_not_used_for_a_while():
+    """Guards against repeated calls through a process that cannot be reached."""
 
     async def run():
-        own, peer = Service(), Service()
+        own, peer = FakeService(), FakeService()
         peer.fails = True
-        lines = AdviceLines(OwnLine(own))
-        lines.set_peers({"p2": (OwnLine(peer), False)})
-        await ask(lines, "quick", 0.02)
-        assert await ask(lines, "slow", 0.5) is None
-        assert lines.pick(True, clock()) is None or len(peer.calls) == 1
+        pool = ChannelPool(LocalAdvisor(own))
+        pool.set_peers({"p2": (LocalAdvisor(peer), False)})
+        await ask(pool, "quick", 0.02)
+        assert await ask(pool, "slow", 0.5) is None
+        assert pool.select(True, clock()) is None or len(peer.calls) == 1
 
     asyncio.run(run())
--- a/tests/workload/test_owner.py
+++ b/tests/workload/test_owner.py
@@ -2,7 +2,7 @@
 
 from poplaryard.clock import SystemClock
 from poplaryard.workload import records
-from poplaryard.workload.advice import AdviceLines
+from poplaryard.workload.advice import ChannelPool
 from poplaryard.workload.membership import ProcessLease
 from poplaryard.workload.model import JobState
 from poplaryard.workload.owner import GroupOwner, OwnerLimits
@@ -14,8 +14,8 @@
 CLOCK = SystemClock()
 
 
-class SimCalls:
-    """Calls to simulated workers in real time."""
+class SimWorkerCalls:
+    """Calls to simulated workers, which run in real time."""
 
     def __init__(self, sims):
         self.sims = sims
@@ -42,14 +42,14 @@
             await asyncio.sleep(0.01)
 
 
-class Owning:
-    """An owner of the group "desk" with its lease and claim."""
+class OwnerFixture:
+    """Owner of the group "desk" with its lease and claim."""
 
     def __init__(self, storage=None, sims=None):
         self.storage = storage or MemoryStorage()
         infos = [worker_info(0), worker_info(1)]
         self.sims = sims or {info.worker_id: SimWorker(info) for info in infos}
-        self.calls = SimCalls(self.sims)
+        self.calls = SimWorkerCalls(self.sims)
 
     async def claim(self, process="p1"):
         member = records.Member(process, "10.0.0.9:1")
@@ -65,10 +65,10 @@
             revision,
             self.storage,
             self.calls,
-            AdviceLines(None),
+            ChannelPool(None),
             self.lease,
             CLOCK,
-            OwnerLimits(hold_s=6.0, keep_s=120.0),
+            OwnerLimits(run_lease_s=6.0, retention_s=120.0),
         )
         return self.owner
 
@@ -91,28 +91,28 @@
         await asyncio.sleep(0.01)
 
 
-def test_stored_job_runs_and_its_end_is_kept():
+def test_stored_job_runs_and_its_end_is_stored():
     async def run():
-        owning = Owning()
-        owner = await owning.claim()
-        await owner.start(owning.infos())
-        await owning.store(job(JOB, step(3), step(1, after=(0,))))
+        fixture = OwnerFixture()
+        owner = await fixture.claim()
+        await owner.start(fixture.infos())
+        await fixture.store(job(JOB, step(3), step(1, after=(0,))))
         await until(lambda: owner.state(JOB) is JobState.DONE)
-        kept = owning.storage.items[records.progress_key("desk", JOB)]
-        assert records.decode_progress(kept.value).state is JobState.DONE
-        owning.close()
+        stored = fixture.storage.items[records.progress_key("desk", JOB)]
+        assert records.decode_progress(stored.value).state is JobState.DONE
+        fixture.close()
 
     asyncio.run(run())
 
 
 def test_no_worker_is_asked_before_the_jobs_are_loaded():
-    """Guards against acknowledging ends of tasks that are not known yet."""
+    """Guards against acknowledging ends of tasks whose jobs are not loaded yet."""
 
     async def run():
         storage = MemoryStorage()
-        owning = Owning(storage)
-        owner = await owning.claim()
-        await owning.store(job())
+        fixture = OwnerFixture(storage)
+        owner = await fixture.claim()
+        await fixture.store(job())
         loading = asyncio.Event()
         release = asyncio.Event()
         scan = storage.scan
@@ -124,110 +124,110 @@
             return await scan(prefix)
 
         storage.scan = slow_scan
-        starting = asyncio.create_task(owner.start(owning.infos()))
+        starting = asyncio.create_task(owner.start(fixture.infos()))
         await loading.wait()
         owner.worker_listed(worker_info(0))
         await asyncio.sleep(0.05)
-        assert owning.calls.holds == []
+        assert fixture.calls.holds == []
         release.set()
         await starting
-        await until(lambda: owning.calls.holds)
-        owning.close()
+        await until(lambda: fixture.calls.holds)
+        fixture.close()
 
     asyncio.run(run())
 
 
 def test_owner_hears_of_a_cancellation_while_its_watch_is_silent():
-    """Guards against a cancelled job that starts because the store tells late."""
+    """Guards against a start of a cancelled job because the watch reports it late."""
 
     async def run():
-        owning = Owning()
-        owner = await owning.claim()
+        fixture = OwnerFixture()
+        owner = await fixture.claim()
 
         async def silent(prefix, after, wait_s):
             await asyncio.sleep(60)
 
-        owning.storage.watch = silent
-        await owner.start(owning.infos())
+        fixture.storage.watch = silent
+        await owner.start(fixture.infos())
         known, later = job(JOB, step(lasting=True)), job("b" * 16)
-        owner.stored(records.Stored("desk", 99, [known]))
+        owner.jobs_stored(records.Stored("desk", 99, [known]))
         await until(lambda: owner.state(JOB) is JobState.RUNNING)
-        owner.stored(records.Stored("desk", 100, cancelled=[JOB, later.job_id]))
-        owner.stored(records.Stored("desk", 98, [later]))
+        owner.jobs_stored(records.Stored("desk", 100, cancelled=[JOB, later.job_id]))
+        owner.jobs_stored(records.Stored("desk", 98, [later]))
         await until(lambda: owner.state(JOB) is JobState.CANCELLED)
         await until(lambda: owner.state(later.job_id) is JobState.CANCELLED)
-        assert not [run for sim in owning.sims.values() for run in sim.runs]
-        owning.close()
+        assert not [run for sim in fixture.sims.values() for run in sim.runs]
+        fixture.close()
 
     asyncio.run(run())
 
 
 def test_owner_that_lost_its_claim_writes_nothing_and_stops():
-    """Guards against progress written beside that of a later owner."""
+    """Guards against an earlier owner that overwrites the progress of a later one."""
 
     async def run():
-        owning = Owning()
-        owner = await owning.claim()
-        await owner.start(owning.infos())
-        await owning.storage.revoke(owning.lease.lease)
-        await owning.store(job())
+        fixture = OwnerFixture()
+        owner = await fixture.claim()
+        await owner.start(fixture.infos())
+        await fixture.storage.revoke(fixture.lease.lease)
+        await fixture.store(job())
         await until(owner.closed.is_set)
-        assert records.progress_key("desk", JOB) not in owning.storage.items
-        owning.close()
+        assert records.progress_key("desk", JOB) not in fixture.storage.items
+        fixture.close()
 
     asyncio.run(run())
 
 
-def test_notes_are_written_again_after_the_store_was_away():
+def test_progress_is_written_again_after_a_store_outage():
     async def run():
-        owning = Owning()
-        owner = await owning.claim()
-        await owner.start(owning.infos())
-        await owning.store(job())
-        owning.storage.faults["commit"] = ["down", "dropped", "lost"]
+        fixture = OwnerFixture()
+        owner = await fixture.claim()
+        await owner.start(fixture.infos())
+        await fixture.store(job())
+        fixture.storage.faults["commit"] = ["down", "dropped", "lost"]
         await until(lambda: owner.state(JOB) is JobState.DONE)
-        owning.close()
+        fixture.close()
 
     asyncio.run(run())
 
 
 def test_late_write_does_not_undo_newer_progress():
-    """Guards against a write that is held up and carried out after newer ones."""
+    """Guards against a write that is delayed and carried out after newer ones."""
 
     async def run():
-        owning = Owning()
-        owner = await owning.claim()
-        await owner.start(owning.infos())
-        await owning.store(job(JOB, step(1), step(1, after=(0,))))
+        fixture = OwnerFixture()
+        owner = await fixture.claim()
+        await owner.start(fixture.infos())
+        await fixture.store(job(JOB, step(1), step(1, after=(0,))))
         await until(lambda: owner.partition.jobs)
-        owning.storage.faults["commit"] = ["late"]
+        fixture.storage.faults["commit"] = ["late"]
         await until(lambda: owner.state(JOB) is JobState.DONE)
-        [result] = await owning.storage.deliver()
+        [result] = await fixture.storage.deliver()
         assert not isinstance(result, int)
-        kept = owning.storage.items[records.progress_key("desk", JOB)]
-        assert records.decode_progress(kept.value).state is JobState.DONE
-        owning.close()
+        stored = fixture.storage.items[records.progress_key("desk", JOB)]
+        assert records.decode_progress(stored.value).state is JobState.DONE
+        fixture.close()
 
     asyncio.run(run())
 
 
 def test_worker_that_comes_back_is_listed_before_it_is_used():
-    """Guards against a later owner that does not wait for such a worker."""
+    """Guards against a later owner that does not know that the worker may have runs."""
 
     async def run():
-        owning = Owning()
-        owner = await owning.claim()
-        await owner.start(owning.infos())
+        fixture = OwnerFixture()
+        owner = await fixture.claim()
+        await owner.start(fixture.infos())
         owner.worker_unlisted("w1")
 
         def listed():
-            item = owning.storage.items[records.workers_key("desk")]
+            item = fixture.storage.items[records.workers_key("desk")]
             return records.decode_workers(item.value)
 
         await until(lambda: list(listed()) == ["w0"])
         owner.worker_listed(worker_info(1))
         assert "w1" not in {w.worker_id for w in owner.partition._usable(CLOCK.now())}
         await until(lambda: sorted(listed()) == ["w0", "w1"])
-        owning.close()
+        fixture.close()
 
     asyncio.run(run())
