--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -11,7 +11,7 @@
 from poplaryard.workload.model import StartOutcome
 from poplaryard.workload.storage import Transaction
 from tests.workload.builders import worker_info
-from tests.workload.world import MemoryStorage, SimWorker
+from tests.workload.fakes import MemoryStorage, SimWorker
 
 RUN_S = 0.1
 
--- a/tests/workload/test_acceptance.py
+++ b/tests/workload/test_acceptance.py
@@ -3,7 +3,7 @@
 from poplaryard.workload import records
 from poplaryard.workload.acceptance import Acceptance, Accepted
 from tests.workload.builders import job
-from tests.workload.world import MemoryStorage
+from tests.workload.fakes import MemoryStorage
 
 
 def submit_all(storage, specs, patience_s=0.0):
--- a/tests/workload/test_backlog_cost.py
+++ b/tests/workload/test_backlog_cost.py
@@ -8,7 +8,7 @@
 from poplaryard.workload import placing
 from poplaryard.workload.model import AdviceCost
 from tests.workload.builders import job, step, worker_info
-from tests.workload.world import Cell
+from tests.workload.fakes import Cell
 
 WORKERS = 60
 BACKLOG = 300
--- a/tests/workload/test_owner.py
+++ b/tests/workload/test_owner.py
@@ -8,7 +8,7 @@
 from poplaryard.workload.owner import GroupOwner, OwnerLimits
 from poplaryard.workload.storage import Transaction
 from tests.workload.builders import job, step, worker_info
-from tests.workload.world import MemoryStorage, SimWorker
+from tests.workload.fakes import MemoryStorage, SimWorker
 
 JOB = "a" * 16
 CLOCK = SystemClock()
--- a/tests/workload/test_partition.py
+++ b/tests/workload/test_partition.py
@@ -1,6 +1,6 @@
 from poplaryard.workload.model import Ended, JobState, Progress, Suspect
 from tests.workload.builders import ADVICE, job, step, worker_info
-from tests.workload.world import Cell
+from tests.workload.fakes import Cell
 
 JOB = "a" * 16
 # Workers of which an earlier owner left no list of tasks.
--- a/tests/workload/test_relay.py
+++ b/tests/workload/test_relay.py
@@ -8,7 +8,7 @@
 from poplaryard.exceptions import PoplaryardError, StoreDown, StoreReplyLost
 from poplaryard.workload.relay import RelayedStorage, answer_relayed
 from poplaryard.workload.storage import Transaction
-from tests.workload.world import MemoryStorage
+from tests.workload.fakes import MemoryStorage
 
 
 class PeerClient:
--- a/tests/workload/test_room.py
+++ b/tests/workload/test_room.py
@@ -2,7 +2,7 @@
 
 from poplaryard.workload.model import AdviceCost, JobState
 from tests.workload.builders import ADVICE, job, step, worker_info
-from tests.workload.world import Cell, wanted_advice
+from tests.workload.fakes import Cell, wanted_advice
 
 
 def small_jobs(cell, count, first=0, **fields):
--- a/tests/workload/test_speed.py
+++ b/tests/workload/test_speed.py
@@ -1,7 +1,7 @@
 """Workers of unlike speed."""
 
 from tests.workload.builders import job, step, worker_info
-from tests.workload.world import Cell
+from tests.workload.fakes import Cell
 
 
 def taught_cell(factors, **fields):
