--- a/src/poplaryard/platform/codec.py
+++ b/src/poplaryard/platform/codec.py
@@ -7,13 +7,13 @@
 from ..resources import Resources
 from ..workload.model import (
     AdviceCost,
-    Ended,
     EndedRun,
     HoldReport,
     JobSpec,
     Queue,
     QueueTable,
     RunningRun,
+    RunOutcome,
     StepSpec,
     WorkerInfo,
 )
@@ -215,7 +215,7 @@
             for row in found.running
         )
         ended = tuple(
-            EndedRun(row[0], row[1], row[2], Ended(row[3]), row[4])
+            EndedRun(row[0], row[1], row[2], RunOutcome(row[3]), row[4])
             for row in found.finished
         )
     except (IndexError, TypeError, ValueError) as exc:
--- a/src/poplaryard/workload/ends.py
+++ b/src/poplaryard/workload/ends.py
@@ -2,7 +2,7 @@
 
 from ..logs import logger
 from .jobtable import JobTable
-from .model import Ended, EndedRun, JobState
+from .model import EndedRun, JobState, RunOutcome
 from .runtime import Run, Task, Worker
 
 __all__ = ["Ends"]
@@ -35,25 +35,25 @@
         job = task.step.job
         job.started = True
         job.active_at = now
-        self._meters.count("poplaryard_runs_ended_total", str(ended.how))
-        if ended.how is not Ended.DONE:
+        self._meters.count("poplaryard_runs_ended_total", str(ended.outcome))
+        if ended.outcome is not RunOutcome.DONE:
             job.lost_runs += 1
         if ended.checkpoint and not task.done:
             self._keep_checkpoint(task, ended.checkpoint)
-        if ended.how is Ended.DONE and not task.step.spec.lasting:
+        if ended.outcome is RunOutcome.DONE and not task.step.spec.lasting:
             if run is not None and run.whole and not task.step.spec.gang:
                 task.step.work.take(worker, now - run.sent_at)
             self._task_done(worker, task, now)
-        elif ended.how is Ended.FAILED:
+        elif ended.outcome is RunOutcome.FAILED:
             self._task_failed(worker, task, ended.run, now)
-        if ended.how is Ended.ALONE or ended.how is Ended.LAPSED:
+        if ended.outcome is RunOutcome.ALONE or ended.outcome is RunOutcome.LAPSED:
             logger.warning(
                 "run ended early",
                 extra={
                     "request": job.spec.job_id,
                     "task": ended.task,
                     "worker": worker.worker_id,
-                    "how": str(ended.how),
+                    "how": str(ended.outcome),
                 },
             )
         if task.step.spec.gang:
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -8,7 +8,7 @@
 
 __all__ = [
     "AdviceCost",
-    "Ended",
+    "RunOutcome",
     "EndedRun",
     "HoldReport",
     "JobSpec",
@@ -274,7 +274,7 @@
     tasks: tuple[str, ...] | None = None
 
 
-class Ended(enum.StrEnum):
+class RunOutcome(enum.StrEnum):
     """How a run ended."""
 
     DONE = "done"
@@ -301,7 +301,7 @@
     seq: int
     task: str
     run: int
-    how: Ended
+    outcome: RunOutcome
     checkpoint: str
 
 
--- a/tests/workload/builders.py
+++ b/tests/workload/builders.py
@@ -3,11 +3,11 @@
 from poplaryard.resources import Resources
 from poplaryard.workload.model import (
     AdviceCost,
-    Ended,
     EndedRun,
     HoldReport,
     JobSpec,
     RunningRun,
+    RunOutcome,
     StepSpec,
     WorkerInfo,
 )
@@ -47,5 +47,5 @@
     return RunningRun(task, run, checkpoint, percent)
 
 
-def end(seq, task, run=1, how=Ended.DONE, checkpoint=""):
-    return EndedRun(seq, task, run, how, checkpoint)
+def end(seq, task, run=1, outcome=RunOutcome.DONE, checkpoint=""):
+    return EndedRun(seq, task, run, outcome, checkpoint)
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -10,7 +10,7 @@
     StoreReplyLost,
     WorkerUnreachable,
 )
-from poplaryard.workload.model import Ended, EndedRun, RunningRun, StartOutcome
+from poplaryard.workload.model import EndedRun, RunningRun, RunOutcome, StartOutcome
 from poplaryard.workload.partition import Partition, StartOrder
 from poplaryard.workload.storage import Change, Item
 from tests.workload.builders import report, worker_info
@@ -51,21 +51,21 @@
         if fence < self.fence:
             return False
         if self.runs.pop(run, None):
-            self._end(run, Ended.STOPPED)
+            self._end(run, RunOutcome.STOPPED)
         return True
 
-    def _end(self, run, how):
-        self.ended.append(EndedRun(next(self._seq), *run, how, ""))
+    def _end(self, run, outcome):
+        self.ended.append(EndedRun(next(self._seq), *run, outcome, ""))
 
     def advance(self, now):
         if self.runs and self.clock(now) > self.deadline:
             for run in list(self.runs):
                 del self.runs[run]
-                self._end(run, Ended.LAPSED)
+                self._end(run, RunOutcome.LAPSED)
         for run, (_, ends_at) in list(self.runs.items()):
             if not self.hang and now >= ends_at:
                 del self.runs[run]
-                self._end(run, Ended.FAILED if self.fail else Ended.DONE)
+                self._end(run, RunOutcome.FAILED if self.fail else RunOutcome.DONE)
 
     def hold(self, fence, acknowledged, deadline, now):
         if fence < self.fence:
--- a/tests/workload/test_partition.py
+++ b/tests/workload/test_partition.py
@@ -1,4 +1,4 @@
-from poplaryard.workload.model import Ended, JobState, Progress, Suspect
+from poplaryard.workload.model import JobState, Progress, RunOutcome, Suspect
 from tests.workload.builders import ADVICE, job, step, worker_info
 from tests.workload.fakes import Cell
 
@@ -248,7 +248,7 @@
     sim = cell.sims["w0"]
     sim.runs[f"{JOB}.0.0.0", 1] = [0, 0]
     del sim.runs[f"{JOB}.0.0.0", 1]
-    sim._end((f"{JOB}.0.0.0", 1), Ended.FAILED)
+    sim._end((f"{JOB}.0.0.0", 1), RunOutcome.FAILED)
     cell.submit(job(JOB, attempts=2), fresh=False, progress=progress)
     cell.run(3)
     assert state(cell) is JobState.DONE
