--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -22,7 +22,7 @@
 from .owner import GroupOwner, OwnerLimits, WorkerCalls
 from .relay import RelayedStorage
 from .storage import Change, Storage, Transaction
-from .watching import Watched
+from .watching import PrefixWatcher
 
 __all__ = ["Formats", "Node", "NodeConfig", "Unavailable", "strength"]
 
@@ -180,12 +180,14 @@
         self._workers: dict[str, WorkerInfo] = {}
         self._unreadable: dict[str, bytes] = {}
         config_prefix = formats.config_key.rpartition("/")[0] + "/"
-        self._config = Watched(storage, config_prefix, self._config_changed)
-        self._claim_watch = Watched(storage, "owner/", self._claim_changed)
+        self._config = PrefixWatcher(storage, config_prefix, self._config_changed)
+        self._claim_watch = PrefixWatcher(storage, "owner/", self._claim_changed)
         self._members: dict[str, records.Member] = {}
         self._lines = AdviceLines(self._advisor)
-        self._member_watch = Watched(storage, "member/", self._member_changed, 2.0)
-        self._worker_watch = Watched(
+        self._member_watch = PrefixWatcher(
+            storage, "member/", self._member_changed, 2.0
+        )
+        self._worker_watch = PrefixWatcher(
             storage,
             formats.worker_prefix,
             self._worker_changed,
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -25,7 +25,7 @@
 from .partition import AdviceRequest, Partition, StartOrder, StopOrder
 from .runtime import CLOCK_DRIFT, LAPSE_SLACK_S, Worker
 from .storage import Change, Storage, Transaction
-from .watching import Watched
+from .watching import PrefixWatcher
 
 __all__ = ["GroupOwner", "OwnerLimits", "WorkerCalls"]
 
@@ -195,7 +195,7 @@
         )
         self._known_workers = suspects
         self._progress = {item.key: item.value for item in progress}
-        watch = Watched(
+        watch = PrefixWatcher(
             self._storage,
             records.job_prefix(self.group),
             self._job_changed,
--- a/src/poplaryard/workload/watching.py
+++ b/src/poplaryard/workload/watching.py
@@ -7,12 +7,12 @@
 from ..logs import logger
 from .storage import Change, Storage
 
-__all__ = ["Watched"]
+__all__ = ["PrefixWatcher"]
 
 RETRY_S = 0.1
 
 
-class Watched:
+class PrefixWatcher:
     """Follows the keys under a prefix.
 
     Parameters
