--- a/src/poplaryard/platform/front.py
+++ b/src/poplaryard/platform/front.py
@@ -9,7 +9,7 @@
 
 from ..exceptions import PoplaryardError
 from ..logs import logger
-from ..workload.acceptance import Accepted
+from ..workload.acceptance import SubmitOutcome
 from ..workload.model import JobState, Queue
 from ..workload.node import Node
 from ..workload.relay import RELAY_PATH, answer_relayed
@@ -148,9 +148,9 @@
             logger.info("job malformed", extra=extra)
             return Front(400)
         accepted = await self._node.submit(spec, patience_s)
-        if accepted is Accepted.STORED:
+        if accepted is SubmitOutcome.STORED:
             return Front(200, {})
-        if accepted is Accepted.REFUSED:
+        if accepted is SubmitOutcome.REFUSED:
             return Front(503, retry_s=RETRY_S)
         # The job may have been stored: the client has to send it again.
         return Front(504)
--- a/src/poplaryard/workload/acceptance.py
+++ b/src/poplaryard/workload/acceptance.py
@@ -13,7 +13,7 @@
 from .model import JobSpec
 from .storage import Item, Storage, Transaction
 
-__all__ = ["Acceptance", "Accepted"]
+__all__ = ["Acceptance", "SubmitOutcome"]
 
 # A transaction takes 32 entries: an expectation and a write for each job.
 BATCH_JOBS = 16
@@ -32,7 +32,7 @@
 OnStored: t.TypeAlias = t.Callable[[list[JobSpec], int], None]
 
 
-class Accepted(enum.Enum):
+class SubmitOutcome(enum.Enum):
     """What became of a job that was handed in."""
 
     STORED = "stored"
@@ -43,7 +43,7 @@
 @dataclass(slots=True, eq=False)
 class _Waiting:
     spec: JobSpec
-    fut: "asyncio.Future[Accepted]"
+    fut: "asyncio.Future[SubmitOutcome]"
     until: float
     lost_replies: int = 0
 
@@ -83,7 +83,7 @@
         self._waiting: deque[_Waiting] = deque()
         self._commits: set[asyncio.Task[None]] = set()
 
-    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> Accepted:
+    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> SubmitOutcome:
         """Store a job; one with an id that is stored already is that job.
 
         Parameters
@@ -92,7 +92,7 @@
             Seconds for which a write without an answer may be repeated.
         """
         if self.cut_off or len(self._waiting) >= MAX_WAITING:
-            return Accepted.REFUSED
+            return SubmitOutcome.REFUSED
         loop = asyncio.get_running_loop()
         waiting = _Waiting(spec, loop.create_future(), loop.time() + patience_s)
         self._waiting.append(waiting)
@@ -122,7 +122,7 @@
                 batch = await self._attempt(batch)
         except StoreDown as exc:
             certain = [waiting for waiting in batch if not waiting.unsure]
-            self._settle(certain, Accepted.REFUSED, exc)
+            self._settle(certain, SubmitOutcome.REFUSED, exc)
             self._repeat([waiting for waiting in batch if waiting.unsure], exc)
         except (StoreReplyLost, LeaseLost) as exc:
             for waiting in batch:
@@ -131,7 +131,7 @@
         except BaseException:
             for waiting in batch:
                 if not waiting.fut.done():
-                    waiting.fut.set_result(Accepted.UNKNOWN)
+                    waiting.fut.set_result(SubmitOutcome.UNKNOWN)
             raise
 
     def _repeat(self, batch: list[_Waiting], exc: Exception) -> None:
@@ -145,7 +145,7 @@
         ends_at = loop.time() + pause_s
         left = [] if self.cut_off else [one for one in batch if one.until > ends_at]
         over = [waiting for waiting in batch if waiting not in left]
-        self._settle(over, Accepted.UNKNOWN, exc)
+        self._settle(over, SubmitOutcome.UNKNOWN, exc)
         if left:
             loop.call_later(pause_s, self._return, left)
 
@@ -166,18 +166,18 @@
         found = await self._storage.commit(transaction)
         if isinstance(found, int):
             self._on_stored([waiting.spec for waiting in unique.values()], found)
-            self._settle(batch, Accepted.STORED, None)
+            self._settle(batch, SubmitOutcome.STORED, None)
             return []
         present = {item.key: item for item in found if isinstance(item, Item)}
         known = [waiting for waiting in batch if waiting.key in present]
         for waiting in known:
             if waiting.unsure:
                 self._on_stored([waiting.spec], present[waiting.key].revision)
-        self._settle(known, Accepted.STORED, None)
+        self._settle(known, SubmitOutcome.STORED, None)
         return [waiting for waiting in batch if waiting.key not in present]
 
     def _settle(
-        self, batch: list[_Waiting], accepted: Accepted, exc: Exception | None
+        self, batch: list[_Waiting], accepted: SubmitOutcome, exc: Exception | None
     ) -> None:
         for waiting in batch:
             if waiting.fut.done():
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -14,7 +14,7 @@
 from ..exceptions import LeaseLost, PoplaryardError, StoreDown, StoreReplyLost
 from ..logs import logger
 from . import records
-from .acceptance import Acceptance, Accepted
+from .acceptance import Acceptance, SubmitOutcome
 from .advice import AdviceLines, Advisor, OwnLine
 from .membership import ProcessLease
 from .meters import Meters
@@ -280,14 +280,14 @@
 
     # What callers ask for
 
-    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> Accepted:
+    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> SubmitOutcome:
         """Store a job; see `Acceptance.submit`."""
         if self._relayed.away:
             # Nothing was tried, so the caller may be told that the job never runs.
             extra = {"request": spec.job_id, "reason": "the store does not answer"}
             logger.info("job refused", extra=extra)
-            self.meters.count("poplaryard_jobs_total", Accepted.REFUSED.value)
-            return Accepted.REFUSED
+            self.meters.count("poplaryard_jobs_total", SubmitOutcome.REFUSED.value)
+            return SubmitOutcome.REFUSED
         began = self._clock.now()
         accepted = await self._acceptance.submit(spec, patience_s)
         self.meters.count("poplaryard_jobs_total", accepted.value)
--- a/tests/workload/test_acceptance.py
+++ b/tests/workload/test_acceptance.py
@@ -1,7 +1,7 @@
 import asyncio
 
 from poplaryard.workload import records
-from poplaryard.workload.acceptance import Acceptance, Accepted
+from poplaryard.workload.acceptance import Acceptance, SubmitOutcome
 from tests.workload.builders import job
 from tests.workload.fakes import MemoryStorage
 
@@ -19,7 +19,7 @@
     """Pattern: a burst of submissions costs few calls of the store."""
     storage = MemoryStorage()
     specs = [job(f"{number:016x}") for number in range(40)]
-    assert set(submit_all(storage, specs)) == {Accepted.STORED}
+    assert set(submit_all(storage, specs)) == {SubmitOutcome.STORED}
     assert storage.calls.count("commit") <= 5
     assert len(storage.items) == 40
 
@@ -29,7 +29,7 @@
     first = job("a" * 16, payload="first")
     submit_all(storage, [first])
     again = job("a" * 16, payload="second")
-    assert submit_all(storage, [again, job("b" * 16)]) == [Accepted.STORED] * 2
+    assert submit_all(storage, [again, job("b" * 16)]) == [SubmitOutcome.STORED] * 2
     kept = storage.items[records.job_key("desk", "a" * 16)]
     assert records.decode_job(kept.value).payload == "first"
 
@@ -37,7 +37,7 @@
 def test_refused_job_is_not_stored():
     storage = MemoryStorage()
     storage.faults["commit"] = ["down"]
-    assert submit_all(storage, [job()]) == [Accepted.REFUSED]
+    assert submit_all(storage, [job()]) == [SubmitOutcome.REFUSED]
     assert not storage.items
 
 
@@ -45,8 +45,8 @@
     """Guards against "not accepted" for a job that lies in the store."""
     storage = MemoryStorage()
     storage.faults["commit"] = ["lost"]
-    assert submit_all(storage, [job()]) == [Accepted.UNKNOWN]
-    assert submit_all(storage, [job()]) == [Accepted.STORED]
+    assert submit_all(storage, [job()]) == [SubmitOutcome.UNKNOWN]
+    assert submit_all(storage, [job()]) == [SubmitOutcome.STORED]
 
 
 def test_owner_is_told_of_jobs_only_once_they_are_stored():
@@ -71,7 +71,7 @@
     for fault in ("lost", "dropped"):
         storage = MemoryStorage()
         storage.faults["commit"] = [fault, "down", fault]
-        assert submit_all(storage, [job()], 3.0) == [Accepted.STORED]
+        assert submit_all(storage, [job()], 3.0) == [SubmitOutcome.STORED]
         assert len(storage.items) == 1
 
 
@@ -85,9 +85,9 @@
         first = asyncio.create_task(acceptance.submit(job("a" * 16), 0.6))
         await asyncio.sleep(0.01)
         began = asyncio.get_running_loop().time()
-        assert await acceptance.submit(job("b" * 16), 0.6) is Accepted.REFUSED
+        assert await acceptance.submit(job("b" * 16), 0.6) is SubmitOutcome.REFUSED
         assert asyncio.get_running_loop().time() - began < 0.3
-        assert await first is Accepted.UNKNOWN
+        assert await first is SubmitOutcome.UNKNOWN
 
     asyncio.run(run())
 
@@ -103,8 +103,8 @@
         await asyncio.sleep(0.05)
         acceptance.cut_off = True
         began = asyncio.get_running_loop().time()
-        assert await acceptance.submit(job("b" * 16), 3.0) is Accepted.REFUSED
-        assert await in_doubt is Accepted.UNKNOWN
+        assert await acceptance.submit(job("b" * 16), 3.0) is SubmitOutcome.REFUSED
+        assert await in_doubt is SubmitOutcome.UNKNOWN
         assert asyncio.get_running_loop().time() - began < 1.0
 
     asyncio.run(run())
