--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -323,7 +323,7 @@
                 raise Unavailable(exc.code, exc.detail) from exc
             logger.info("job cancelled", extra={"request": job_id})
             revision = found if isinstance(found, int) else 0
-            stored = records.Stored(group, revision, cancelled=[job_id])
+            stored = records.StoredJobs(group, revision, cancelled=[job_id])
             self._tell_owner_of(stored)
             return True
         return False
@@ -344,9 +344,9 @@
         """Tell the owners of jobs that were stored, without waiting for an answer."""
         for group in {spec.group for spec in specs}:
             mine = [spec for spec in specs if spec.group == group]
-            self._tell_owner_of(records.Stored(group, revision, mine))
+            self._tell_owner_of(records.StoredJobs(group, revision, mine))
 
-    def _tell_owner_of(self, stored: records.Stored) -> None:
+    def _tell_owner_of(self, stored: records.StoredJobs) -> None:
         owner = self.owners.get(stored.group)
         if owner is not None:
             owner.stored(stored)
@@ -364,7 +364,7 @@
 
     def jobs_stored(self, body: bytes) -> None:
         """Take jobs that a peer stored; raises `msgspec.DecodeError`."""
-        stored = records.decode_stored(body)
+        stored = records.decode_stored_jobs(body)
         owner = self.owners.get(stored.group)
         if owner is not None:
             owner.stored(stored)
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -519,7 +519,7 @@
             self._log_job(spec, fresh)
         partition.add_job(spec, now, fresh, progress)
 
-    def stored(self, stored: records.Stored) -> None:
+    def stored(self, stored: records.StoredJobs) -> None:
         """Take what a process has stored, before the watch reports it."""
         if self.partition is None or not self.loaded:
             return
--- a/src/poplaryard/workload/records.py
+++ b/src/poplaryard/workload/records.py
@@ -10,14 +10,14 @@
     "CANCEL_SUFFIX",
     "Claim",
     "Member",
-    "Stored",
+    "StoredJobs",
     "cancel_key",
     "claim_key",
     "decode_claim",
     "decode_job",
     "decode_member",
     "decode_progress",
-    "decode_stored",
+    "decode_stored_jobs",
     "decode_workers",
     "encode",
     "job_key",
@@ -52,7 +52,7 @@
     strength: float = 1.0
 
 
-class Stored(msgspec.Struct, frozen=True):
+class StoredJobs(msgspec.Struct, frozen=True):
     """Jobs and cancellations that a process has stored in one transaction."""
 
     group: str
@@ -61,7 +61,7 @@
     cancelled: list[str] = []
 
 
-_stored = msgspec.json.Decoder(Stored)
+_stored = msgspec.json.Decoder(StoredJobs)
 _claims = msgspec.json.Decoder(Claim)
 _members = msgspec.json.Decoder(Member)
 _workers = msgspec.json.Decoder(dict[str, Suspect])
@@ -123,7 +123,7 @@
     return _progress.decode(value)
 
 
-def decode_stored(value: bytes) -> Stored:
+def decode_stored_jobs(value: bytes) -> StoredJobs:
     """Decode a message about stored jobs; raises `msgspec.DecodeError`."""
     return _stored.decode(value)
 
--- a/tests/workload/test_owner.py
+++ b/tests/workload/test_owner.py
@@ -150,10 +150,10 @@
         owning.storage.watch = silent
         await owner.start(owning.infos())
         known, later = job(JOB, step(lasting=True)), job("b" * 16)
-        owner.stored(records.Stored("desk", 99, [known]))
+        owner.stored(records.StoredJobs("desk", 99, [known]))
         await until(lambda: owner.state(JOB) is JobState.RUNNING)
-        owner.stored(records.Stored("desk", 100, cancelled=[JOB, later.job_id]))
-        owner.stored(records.Stored("desk", 98, [later]))
+        owner.stored(records.StoredJobs("desk", 100, cancelled=[JOB, later.job_id]))
+        owner.stored(records.StoredJobs("desk", 98, [later]))
         await until(lambda: owner.state(JOB) is JobState.CANCELLED)
         await until(lambda: owner.state(later.job_id) is JobState.CANCELLED)
         assert not [run for sim in owning.sims.values() for run in sim.runs]
