--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -204,7 +204,7 @@
         await watch.reload()
         self._progress.clear()
         await self._keep_workers(set(workers) - silent)
-        self.partition.keep_workers(_open(self._known_workers))
+        self.partition.allow_starts_on(_open(self._known_workers))
         self.loaded = True
         self._meters.count("poplaryard_owner_changes_total", "taken over")
         self._meters.observe("poplaryard_take_over_seconds", self._clock.now() - began)
@@ -366,14 +366,14 @@
                 found = wanted.get(name, Suspect())
                 wanted[name] = Suspect(found.address, found.draining)
             both = {name for name in wanted if self._open_to_work(name)}
-            partition.keep_workers(_open(wanted) & both)
+            partition.allow_starts_on(_open(wanted) & both)
             transaction = self._owned()
             value = records.encode(wanted)
             transaction.puts.append((records.workers_key(self.group), value, 0))
             if not await self._commit(transaction):
                 return False
             self._known_workers = wanted
-            partition.keep_workers(_open(wanted))
+            partition.allow_starts_on(_open(wanted))
             return True
 
     # Decisions
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -120,7 +120,7 @@
             return True
         return worker.worker_id in self._open_suspects(now)
 
-    def keep_workers(self, worker_ids: set[str]) -> None:
+    def allow_starts_on(self, worker_ids: set[str]) -> None:
         """Start tasks only on these workers: a later owner will hear of them."""
         self._kept = worker_ids
 
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -122,7 +122,7 @@
             self.now += step_s
 
     def step(self):
-        self.partition.keep_workers(self.partition.may_hold_work(self.now))
+        self.partition.allow_starts_on(self.partition.may_hold_work(self.now))
         for sim in self.sims.values():
             sim.advance(self.now)
             worker = self.partition.workers.get(sim.info.worker_id)
--- a/tests/workload/test_backlog_cost.py
+++ b/tests/workload/test_backlog_cost.py
@@ -59,7 +59,7 @@
     """Pattern: one worker becomes free under a burst of short jobs."""
     cell = full_cell()
     cell.add_worker(worker_info(WORKERS, cpu=4000, address="10.0.2.1:80"))
-    cell.partition.keep_workers(cell.partition.may_hold_work(cell.now))
+    cell.partition.allow_starts_on(cell.partition.may_hold_work(cell.now))
     cell._advise = lambda: None
     cell.step()
     looks.clear()
