--- a/src/poplaryard/workload/jobtable.py
+++ b/src/poplaryard/workload/jobtable.py
@@ -6,7 +6,7 @@
 from ..resources import Resources
 from .meters import Meters
 from .model import JobSpec, JobState, Progress, Suspect
-from .orders import Notes, StartOrder, StopOrder
+from .orders import ProgressBatch, StartOrder, StopOrder
 from .records import encode
 from .room import Holds, Plan
 from .runtime import JobRun, Run, RunPhase, StepRun, Task, Worker
@@ -67,7 +67,7 @@
         self.workers: dict[str, Worker] = {}
         self.orders: list[StartOrder | StopOrder] = []
         self.fenced = False
-        self.notes_urgent = False
+        self.progress_urgent = False
         self.accepts_starts = True
         self.sole_owner = True
         self._kept: set[str] = set()
@@ -202,7 +202,7 @@
         job.progress.finished_at = now + self._wall_offset
         self._timed.pop(job.spec.job_id, None)
         self._dirty.add(job.spec.job_id)
-        self.notes_urgent = True
+        self.progress_urgent = True
         for steps in job.occurrences.values():
             for step in steps:
                 self._open_steps.pop(step.name, None)
@@ -289,12 +289,12 @@
                 used += _weight(worker.used)
         return used / total if total else 1.0
 
-    def take_notes(self) -> Notes:
-        """Return what has to be written; `notes_written` follows on success."""
+    def take_progress(self) -> ProgressBatch:
+        """Return what has to be written; `progress_written` follows on success."""
         jobs = [self.jobs[job_id] for job_id in self._dirty if job_id in self.jobs]
         self._dirty.clear()
-        self.notes_urgent = False
-        return Notes(
+        self.progress_urgent = False
+        return ProgressBatch(
             progress={job.spec.job_id: encode(job.progress) for job in jobs},
             states={job.spec.job_id: job.progress.state for job in jobs},
             seen={
@@ -303,7 +303,7 @@
             },
         )
 
-    def notes_written(self, notes: Notes) -> None:
+    def progress_written(self, notes: ProgressBatch) -> None:
         """Show the states that are now kept, and allow ends to be acknowledged."""
         for job_id, state in notes.states.items():
             job = self.jobs.get(job_id)
@@ -313,13 +313,13 @@
             if worker.born_ms == born_ms:
                 worker.acked_seq = max(worker.acked_seq, seq)
 
-    def notes_failed(self, notes: Notes) -> None:
+    def progress_not_written(self, notes: ProgressBatch) -> None:
         """Keep notes for the next write."""
         self._dirty |= set(notes.progress)
-        self.notes_urgent = True
+        self.progress_urgent = True
 
     @property
-    def has_notes(self) -> bool:
+    def has_unwritten_progress(self) -> bool:
         """Whether anything has to be written or acknowledged."""
         return bool(self._dirty) or any(
             worker.acked_seq < worker.seen_seq for worker in self.workers.values()
--- a/src/poplaryard/workload/orders.py
+++ b/src/poplaryard/workload/orders.py
@@ -5,7 +5,7 @@
 from .model import JobState
 from .runtime import Run, StepRun, Worker
 
-__all__ = ["AdviceRequest", "Notes", "StartOrder", "StopOrder"]
+__all__ = ["AdviceRequest", "ProgressBatch", "StartOrder", "StopOrder"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Notes:
+class ProgressBatch:
     """What has to be written before ends are acknowledged.
 
     Attributes
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -550,10 +550,10 @@
     async def _notes_loop(self) -> None:
         partition = t.cast(Partition, self.partition)
         while True:
-            if not partition.notes_urgent:
+            if not partition.progress_urgent:
                 await self._pause_notes()
             now = self._clock.now()
-            if partition.has_notes and not await self._write_notes():
+            if partition.has_unwritten_progress and not await self._write_notes():
                 await asyncio.sleep(HOLD_RETRY_S)
             if now >= self._summary_at:
                 self._summary_at = now + SUMMARY_EVERY_S
@@ -580,12 +580,12 @@
     def _changed(self) -> None:
         """Look at what can be started or has to be written now."""
         self._wake.set()
-        if self.partition is not None and self.partition.notes_urgent:
+        if self.partition is not None and self.partition.progress_urgent:
             self._notes_wake.set()
 
     async def _write_notes(self) -> bool:
         partition = t.cast(Partition, self.partition)
-        notes = partition.take_notes()
+        notes = partition.take_progress()
         began = self._clock.now()
         entries = [
             (records.progress_key(self.group, job_id), value, 0)
@@ -596,9 +596,9 @@
             transaction = self._owned()
             transaction.puts = entries[begin : begin + size]
             if not await self._commit(transaction):
-                partition.notes_failed(notes)
+                partition.progress_not_written(notes)
                 return False
-        partition.notes_written(notes)
+        partition.progress_written(notes)
         self._meters.observe("poplaryard_note_seconds", self._clock.now() - began)
         self._noted.set()
         self._noted.clear()
--- a/src/poplaryard/workload/partition.py
+++ b/src/poplaryard/workload/partition.py
@@ -14,12 +14,12 @@
 from . import placing
 from .advising import Advising
 from .model import StartOutcome
-from .orders import AdviceRequest, Notes, StartOrder, StopOrder
+from .orders import AdviceRequest, ProgressBatch, StartOrder, StopOrder
 from .reports import Reports
 from .room import plan_room
 from .runtime import Run, RunPhase, StepRun, Task, Worker
 
-__all__ = ["AdviceRequest", "Notes", "Partition", "StartOrder", "StopOrder"]
+__all__ = ["AdviceRequest", "ProgressBatch", "Partition", "StartOrder", "StopOrder"]
 
 # An order without an answer may still be carried out this long after it was sent, in
 # seconds: the platform states up to 12.
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -132,7 +132,7 @@
         self._advise()
         self.partition.advance(self.now)
         self._carry_out()
-        self.partition.notes_written(self.partition.take_notes())
+        self.partition.progress_written(self.partition.take_progress())
 
     def _hold(self, worker, sim):
         if sim.cut:
--- a/tests/workload/test_partition.py
+++ b/tests/workload/test_partition.py
@@ -70,7 +70,7 @@
             cell._hold(cell.partition.workers[sim.info.worker_id], sim)
         cell.now += 0.05
     assert state(cell) is JobState.RUNNING
-    cell.partition.notes_written(cell.partition.take_notes())
+    cell.partition.progress_written(cell.partition.take_progress())
     assert state(cell) is JobState.DONE
 
 
@@ -84,10 +84,10 @@
     sim.advance(cell.now)
     cell._hold(worker, sim)
     assert (worker.seen_seq, worker.acked_seq) == (1, 0)
-    notes = cell.partition.take_notes()
-    cell.partition.notes_failed(notes)
+    notes = cell.partition.take_progress()
+    cell.partition.progress_not_written(notes)
     assert worker.acked_seq == 0
-    cell.partition.notes_written(cell.partition.take_notes())
+    cell.partition.progress_written(cell.partition.take_progress())
     assert worker.acked_seq == 1
 
 
