--- a/src/poplaryard/workload/acceptance.py
+++ b/src/poplaryard/workload/acceptance.py
@@ -71,7 +71,7 @@
 
     Attributes
     ----------
-    cut_off : bool
+    isolated : bool
         Whether the store is out of reach for long: nothing is begun or repeated, and
         callers can go elsewhere at once.
     """
@@ -79,7 +79,7 @@
     def __init__(self, storage: Storage, on_stored: OnStored):
         self._storage = storage
         self._on_stored = on_stored
-        self.cut_off = False
+        self.isolated = False
         self._waiting: deque[_Waiting] = deque()
         self._commits: set[asyncio.Task[None]] = set()
 
@@ -91,7 +91,7 @@
         patience_s : float
             Seconds for which a write without an answer may be repeated.
         """
-        if self.cut_off or len(self._waiting) >= MAX_WAITING:
+        if self.isolated or len(self._waiting) >= MAX_WAITING:
             return SubmitOutcome.REFUSED
         loop = asyncio.get_running_loop()
         waiting = _Waiting(spec, loop.create_future(), loop.time() + patience_s)
@@ -143,7 +143,7 @@
         pause_s = random.uniform(0.0, longest_s)
         loop = asyncio.get_running_loop()
         ends_at = loop.time() + pause_s
-        left = [] if self.cut_off else [one for one in batch if one.until > ends_at]
+        left = [] if self.isolated else [one for one in batch if one.until > ends_at]
         over = [waiting for waiting in batch if waiting not in left]
         self._settle(over, SubmitOutcome.UNKNOWN, exc)
         if left:
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -229,7 +229,7 @@
                 answered = await asyncio.gather(*(map(self._answers, asked)))
                 isolated = not any(answered) and not self._relayed.direct_ok
             if isolated != self.isolated:
-                self.isolated = self._acceptance.cut_off = isolated
+                self.isolated = self._acceptance.isolated = isolated
                 logger.warning("cut off" if isolated else "no longer cut off")
 
     async def _answers(self, address: str) -> bool:
--- a/tests/workload/test_acceptance.py
+++ b/tests/workload/test_acceptance.py
@@ -101,7 +101,7 @@
         acceptance = Acceptance(storage, lambda specs, revision: None)
         in_doubt = asyncio.create_task(acceptance.submit(job("a" * 16), 3.0))
         await asyncio.sleep(0.05)
-        acceptance.cut_off = True
+        acceptance.isolated = True
         began = asyncio.get_running_loop().time()
         assert await acceptance.submit(job("b" * 16), 3.0) is SubmitOutcome.REFUSED
         assert await in_doubt is SubmitOutcome.UNKNOWN
