--- a/src/poplaryard/workload/acceptance.py
+++ b/src/poplaryard/workload/acceptance.py
@@ -83,18 +83,18 @@
         self._waiting: deque[_Waiting] = deque()
         self._commits: set[asyncio.Task[None]] = set()
 
-    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> SubmitOutcome:
+    async def submit(self, spec: JobSpec, retry_for_s: float = 0.0) -> SubmitOutcome:
         """Store a job; one with an id that is stored already is that job.
 
         Parameters
         ----------
-        patience_s : float
+        retry_for_s : float
             Seconds for which a write without an answer may be repeated.
         """
         if self.isolated or len(self._waiting) >= MAX_WAITING:
             return SubmitOutcome.REFUSED
         loop = asyncio.get_running_loop()
-        waiting = _Waiting(spec, loop.create_future(), loop.time() + patience_s)
+        waiting = _Waiting(spec, loop.create_future(), loop.time() + retry_for_s)
         self._waiting.append(waiting)
         self._begin()
         return await waiting.fut
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -282,7 +282,7 @@
 
     async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> SubmitOutcome:
         """Store a job; see `Acceptance.submit`."""
-        if self._relayed.away:
+        if self._relayed.store_unreachable:
             # Nothing was tried, so the caller may be told that the job never runs.
             extra = {"request": spec.job_id, "reason": "the store does not answer"}
             logger.info("job refused", extra=extra)
--- a/src/poplaryard/workload/relay.py
+++ b/src/poplaryard/workload/relay.py
@@ -121,7 +121,7 @@
     ----------
     direct_ok : bool
         Whether the store answered the last direct call.
-    away : bool
+    store_unreachable : bool
         Whether the last calls got no answer, neither directly nor through peers. Calls
         that go on in the background find out when the store is back.
     """
@@ -141,7 +141,7 @@
         self._probe_at = 0.0
         self._relay_at = 0.0
         self._good_peer = ""
-        self.away = False
+        self.store_unreachable = False
 
     async def get(self, key: str) -> Item | None:
         """Return the item of a key, or None."""
@@ -232,7 +232,7 @@
         if not self.direct_ok:
             logger.warning("store reached directly again")
         self.direct_ok = True
-        self.away = False
+        self.store_unreachable = False
         return result
 
     def _failed(self, exc: PoplaryardError) -> None:
@@ -253,13 +253,13 @@
                 self._good_peer = address
                 # Single writes are lost while the store serves everything else.
                 if outcome.error != "reply lost":
-                    self.away = False
+                    self.store_unreachable = False
                 elif call.call != "commit":
-                    self.away = True
+                    self.store_unreachable = True
                 if outcome.error:
                     raise _ERRORS[outcome.error]()
                 return outcome
-        self.away = True
+        self.store_unreachable = True
         self._relay_at = self._clock.now() + FAILED_PAUSE_S
         raise StoreDown
 
--- a/tests/workload/test_relay.py
+++ b/tests/workload/test_relay.py
@@ -149,23 +149,23 @@
         relayed = Relayed()
         relayed.turn_away("dropped")
         await relayed.storage.get("k")
-        assert not relayed.storage.away
+        assert not relayed.storage.store_unreachable
         relayed.store.faults["get"] = ["dropped"] * 3
         for _ in range(2):
             with pytest.raises(StoreReplyLost):
                 await relayed.storage.get("k")
-            assert relayed.storage.away
+            assert relayed.storage.store_unreachable
         relayed.store.faults.clear()
         await relayed.storage.get("k")
-        assert not relayed.storage.away
+        assert not relayed.storage.store_unreachable
         relayed.store.faults["get"] = ["down"]
         with pytest.raises(StoreDown):
             await relayed.storage.get("k")
-        assert relayed.storage.away
+        assert relayed.storage.store_unreachable
         relayed.cut_off.faults.clear()
         relayed.clock.advance(1.0)
         await relayed.storage.get("k")
-        assert not relayed.storage.away
+        assert not relayed.storage.store_unreachable
 
     asyncio.run(run())
 
