--- a/src/poplaryard/workload/jobtable.py
+++ b/src/poplaryard/workload/jobtable.py
@@ -221,7 +221,7 @@
                 "age_s": round(now - job.arrived_at, 3),
                 "objective_s": round(job.spec.objective_s(), 3),
                 "waited_s": round(max(0.0, job.first_start_at - job.arrived_at), 3),
-                "chain_s": round(job.spec.chain_s(), 3),
+                "chain_s": round(job.spec.critical_path_s(), 3),
                 "steps": len(job.spec.steps),
                 "priority": job.spec.priority,
                 "lost_runs": job.lost_runs,
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -187,7 +187,7 @@
     slack_s: float = 1.0
     advice: AdviceCost | None = None
 
-    def chain_s(self) -> float:
+    def critical_path_s(self) -> float:
         """Return the estimated run time of the longest chain of steps in seconds."""
         ends: list[float] = []
         for step in self.steps:
@@ -197,7 +197,7 @@
 
     def objective_s(self) -> float:
         """Return the time within which the job should be done, in seconds."""
-        return self.stretch * self.chain_s() + self.slack_s
+        return self.stretch * self.critical_path_s() + self.slack_s
 
 
 @dataclass(slots=True)
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -542,7 +542,7 @@
                 "queue": spec.queue,
                 "steps": len(spec.steps),
                 "tasks": sum(step.count for step in spec.steps),
-                "chain_s": round(spec.chain_s(), 3),
+                "chain_s": round(spec.critical_path_s(), 3),
                 "fresh": fresh,
             },
         )
