--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -382,7 +382,7 @@
             for task, name in list(job.held.items()):
                 vm = self._state.fleet.vms.get(name)
                 if vm is None or not vm.usable:
-                    self._state.unhold(job, task)
+                    self._state.release_hold(job, task)
                 elif not vm.overcommitted and not self._must_wait(job):
                     self._starter.start_held(now, job, task)
             if not job.held:
--- a/src/poplaryard/fleet.py
+++ b/src/poplaryard/fleet.py
@@ -186,7 +186,7 @@
         vm.free -= amount
         self.refresh(vm)
 
-    def unhold(self, name: str, hold_id: str) -> Resources:
+    def release_hold(self, name: str, hold_id: str) -> Resources:
         """Give a held amount back and return it."""
         vm = self.vms.get(name)
         if vm is None or hold_id not in vm.holds:
--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -124,7 +124,7 @@
         for reservation in self._reserved.values():
             job = reservation.job
             for task in [task for task, name in job.held.items() if name == vm.name]:
-                self._state.unhold(job, task)
+                self._state.release_hold(job, task)
                 reservation.planned_at = float("-inf")
 
     def backfill(
@@ -171,7 +171,7 @@
             vm = fleet.index.tightest(need, job.work.group)
             if vm is None:
                 return
-            self._state.unhold(job, task)
+            self._state.release_hold(job, task)
             self._state.hold(job, task, vm, need)
 
     def _replan(self, now: float, reservation: Reservation) -> None:
@@ -184,7 +184,7 @@
             return
         for task, name in list(job.held.items()):
             if not _has_room(vms[name]):
-                self._state.unhold(job, task)
+                self._state.release_hold(job, task)
         starts_at = self._hold_soonest(now, job, reservation.need)
         reservation.starts_at = now if starts_at is None else starts_at
         reservation.planned_at = now
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -122,9 +122,9 @@
         for task, name in list(job.held.items()):
             vm = self._state.fleet.vms.get(name)
             if vm is None or not vm.usable or len(job.held) > missing:
-                self._state.unhold(job, task)
+                self._state.release_hold(job, task)
             elif not vm.overcommitted:
-                amount = self._state.unhold(job, task)
+                amount = self._state.release_hold(job, task)
                 self._state.start(now, Start(vm, _work_of(pool.spec), 0, amount))
                 missing -= 1
         return len(job.held)
--- a/src/poplaryard/starter.py
+++ b/src/poplaryard/starter.py
@@ -69,7 +69,7 @@
     def start_held(self, now: float, job: Job, task: int) -> None:
         """Start a task on the VM on which room is held for it."""
         vm = self._state.fleet.vms[job.held[task]]
-        amount = self._state.unhold(job, task)
+        amount = self._state.release_hold(job, task)
         if self.start(now, job, task, Choice(vm), amount):
             job.pending.remove(task)
 
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -183,23 +183,23 @@
         self.fleet.hold(vm, _hold_id(job, task), amount)
         job.held[task] = vm.name
 
-    def unhold(self, job: Job, task: int) -> Resources:
+    def release_hold(self, job: Job, task: int) -> Resources:
         """Give up the room kept for one task of a job and return its amount."""
         vm = job.held.pop(task)
         self.room_freed = True
-        return self.fleet.unhold(vm, _hold_id(job, task))
+        return self.fleet.release_hold(vm, _hold_id(job, task))
 
     def unhold_all(self, job: Job) -> None:
         """Give up the room kept for a job."""
         for task in list(job.held):
-            self.unhold(job, task)
+            self.release_hold(job, task)
 
     def withdraw(self, job: Job, task: int) -> None:
         """Start a task no more, since an attempt of it is known."""
         if task in job.pending:
             job.pending.remove(task)
         if task in job.held:
-            self.unhold(job, task)
+            self.release_hold(job, task)
 
     def close(self, now: float, job: Job) -> None:
         """Give up the room and the place in the queue of a job that starts no more."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -60,7 +60,7 @@
     fleet.release(vm.name, "a")
     assert not vm.overcommitted
     assert fleet.index.tightest(Resources(1000, 1024, 0)) is None
-    fleet.unhold(vm.name, "h")
+    fleet.release_hold(vm.name, "h")
     assert fleet.index.tightest(Resources(1000, 1024, 0)) is vm
 
 
