--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -374,7 +374,7 @@
         """Start the tasks whose held room has become free."""
         for job in self.gangs.ready(now):
             if self._must_wait(job):
-                self._state.unhold_all(job)
+                self._state.release_holds(job)
                 self._gang_back(job)
             else:
                 self._starter.start_all_held(now, job)
--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -84,7 +84,7 @@
         for task in job.pending:
             vm = fleet.index.tightest(need, group)
             if vm is None:
-                self._state.unhold_all(job)
+                self._state.release_holds(job)
                 return False
             self._state.hold(job, task, vm, need)
         return True
@@ -101,7 +101,7 @@
             return False
         starts_at = self._hold_soonest(now, job, need)
         if starts_at is None:
-            self._state.unhold_all(job)
+            self._state.release_holds(job)
             return False
         self._reserved[key] = Reservation(job, need, starts_at, now)
         return True
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -189,7 +189,7 @@
         self.room_freed = True
         return self.fleet.release_hold(vm, _hold_id(job, task))
 
-    def unhold_all(self, job: Job) -> None:
+    def release_holds(self, job: Job) -> None:
         """Give up the room kept for a job."""
         for task in list(job.held):
             self.release_hold(job, task)
@@ -203,7 +203,7 @@
 
     def close(self, now: float, job: Job) -> None:
         """Give up the room and the place in the queue of a job that starts no more."""
-        self.unhold_all(job)
+        self.release_holds(job)
         self.on_close(now, job)
 
     def add_job(self, job: Job) -> None:
