--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -287,7 +287,7 @@
     def _note_leaving(self, now: float, vm: Vm) -> None:
         leaving = vm.listed_leaving or vm.says_leaving
         if leaving and not vm.leaving:
-            self._state.note_vm("leaving", vm.name)
+            self._state.audit_vm("leaving", vm.name)
         vm.leaving = leaving
         self._state.fleet.refresh(vm)
         if vm.leaving:
--- a/src/poplaryard/health.py
+++ b/src/poplaryard/health.py
@@ -47,7 +47,7 @@
         if self._ejector.weight(now, vm.name) == 0.0:
             if vm.name not in self._impaired:
                 cause = "Too many of its recent tasks failed or were slow."
-                self._state.note_vm("ejected", vm.name, cause)
+                self._state.audit_vm("ejected", vm.name, cause)
             self._impaired[vm.name] = vm
             self._set_ejected(vm, True)
 
@@ -58,7 +58,7 @@
             self._set_ejected(vm, self._state.rng.random() >= weight)
             if weight >= 1.0:
                 del self._impaired[name]
-                self._state.note_vm("returned", name)
+                self._state.audit_vm("returned", name)
 
     def _set_ejected(self, vm: Vm, ejected: bool) -> None:
         if vm.ejected == ejected:
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -151,9 +151,9 @@
     def note(self, action: str, attempt: Attempt, cause: str = "") -> None:
         """Record what happens to a task; single requests are too many for the trail."""
         if attempt.work.kind is not WorkKind.REQUEST:
-            self.note_vm(action, attempt.vm, cause, attempt.work.request_id)
+            self.audit_vm(action, attempt.vm, cause, attempt.work.request_id)
 
-    def note_vm(
+    def audit_vm(
         self, action: str, vm: str, cause: str = "", request_id: str = ""
     ) -> None:
         """Record what happens to a VM."""
