--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -154,7 +154,9 @@
         It needs no retry budget: the losses are bounded by the failures of VMs.
         """
         job = self._state.end(now, attempt)
-        self._state.note("lost", attempt, "The worker is gone and its leases ended.")
+        self._state.audit_attempt(
+            "lost", attempt, "The worker is gone and its leases ended."
+        )
         answer = self.ledger.lost(now, attempt.attempt_id)
         if job is None:
             return
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -145,10 +145,10 @@
                 executor=start.executor,
             )
         )
-        self.note("placed", attempt)
+        self.audit_attempt("placed", attempt)
         return attempt
 
-    def note(self, action: str, attempt: Attempt, cause: str = "") -> None:
+    def audit_attempt(self, action: str, attempt: Attempt, cause: str = "") -> None:
         """Record what happens to a task; single requests are too many for the trail."""
         if attempt.work.kind is not WorkKind.REQUEST:
             self.audit_vm(action, attempt.vm, cause, attempt.work.request_id)
@@ -166,7 +166,7 @@
         attempt.stop_mode = mode
         epoch = self.authority.epoch
         self.out.append(StopAttempt(attempt.vm, attempt.attempt_id, epoch, mode))
-        self.note(mode.value, attempt)
+        self.audit_attempt(mode.value, attempt)
 
     def end(self, now: float, attempt: Attempt) -> Job | None:
         """Release all that an ended attempt held; return its job if it is open."""
