--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -108,7 +108,7 @@
         job = self._state.jobs.get(report.request_id)
         if job is not None:
             job.attempts.add(attempt.attempt_id)
-            self._state.withdraw(job, report.task)
+            self._state.drop_pending(job, report.task)
             self._state.attempts.describe(attempt, job.work)
 
     def take_running(self, job: Job) -> None:
@@ -131,7 +131,7 @@
         if job is None:
             return
         if report.task not in self.ledger.open_tasks(job.request_id):
-            self._state.withdraw(job, report.task)
+            self._state.drop_pending(job, report.task)
             job.ran = True
         if answer is not None:
             self._send(now, job, answer)
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -194,7 +194,7 @@
         for task in list(job.held):
             self.release_hold(job, task)
 
-    def withdraw(self, job: Job, task: int) -> None:
+    def drop_pending(self, job: Job, task: int) -> None:
         """Start a task no more, since an attempt of it is known."""
         if task in job.pending:
             job.pending.remove(task)
