--- a/src/poplaryard/attempts.py
+++ b/src/poplaryard/attempts.py
@@ -114,7 +114,7 @@
         elif attempt.executor:
             pool.take(attempt.executor)
 
-    def describe(self, attempt: Attempt, work: Work) -> None:
+    def set_work(self, attempt: Attempt, work: Work) -> None:
         """Take the whole request of an attempt that an earlier owner started."""
         if attempt.preemptible:
             _count(self.preemptible, attempt.vm, -1)
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -109,7 +109,7 @@
         if job is not None:
             job.attempts.add(attempt.attempt_id)
             self._state.drop_pending(job, report.task)
-            self._state.attempts.describe(attempt, job.work)
+            self._state.attempts.set_work(attempt, job.work)
 
     def take_running(self, job: Job) -> None:
         """Take up the attempts of a job that an earlier owner started."""
@@ -117,7 +117,7 @@
             attempt = self._state.attempts.get(attempt_id)
             if attempt is not None:
                 job.attempts.add(attempt_id)
-                self._state.attempts.describe(attempt, job.work)
+                self._state.attempts.set_work(attempt, job.work)
 
     def found(self, now: float, report: AttemptReport) -> None:
         """Take the end of an attempt that is not in progress here.
