--- a/src/poplaryard/fleet.py
+++ b/src/poplaryard/fleet.py
@@ -10,7 +10,7 @@
 __all__ = ["Fleet", "Vm"]
 
 # Sizes of work for which the largest fitting shape is remembered.
-ROOMIEST_KEPT = 4096
+SHAPE_CACHE_SIZE = 4096
 
 
 @dataclass(slots=True, eq=False)
@@ -86,7 +86,7 @@
         self.racks: dict[str, dict[str, Vm]] = {}
         self._rack_names: list[str] = []
         self._shapes: dict[tuple[str, Resources], int] = {}
-        self._roomiest: dict[tuple[Resources, str], Resources | None] = {}
+        self._largest_shapes: dict[tuple[Resources, str], Resources | None] = {}
         self.index: CapacityIndex[Vm] = CapacityIndex()
         self.total = ZERO
         self.used = ZERO
@@ -211,18 +211,18 @@
             totals[group] = totals.get(group, ZERO) + shape.times(count)
         return totals
 
-    def roomiest(self, need: Resources, group: str = "") -> Resources | None:
+    def largest_shape(self, need: Resources, group: str = "") -> Resources | None:
         """Return the largest shape that holds `need`, or None if none does."""
         key = need, group
-        if key not in self._roomiest:
-            if len(self._roomiest) >= ROOMIEST_KEPT:
-                self._roomiest.clear()
+        if key not in self._largest_shapes:
+            if len(self._largest_shapes) >= SHAPE_CACHE_SIZE:
+                self._largest_shapes.clear()
             fitting = [shape for shape in self.shapes(group) if need.fits_in(shape)]
-            self._roomiest[key] = max(fitting, key=_size, default=None)
-        return self._roomiest[key]
+            self._largest_shapes[key] = max(fitting, key=_size, default=None)
+        return self._largest_shapes[key]
 
     def _count_shape(self, spec: VmSpec, step: int) -> None:
-        self._roomiest.clear()
+        self._largest_shapes.clear()
         key = spec.group, spec.capacity
         self._shapes[key] = self._shapes.get(key, 0) + step
         if not self._shapes[key]:
--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -21,7 +21,7 @@
         if work.kind is WorkKind.REQUEST or not fleet.vms:
             return ""
         where = f"VM of group {work.group}" if work.group else "VM"
-        if fleet.roomiest(work.need, work.group) is None:
+        if fleet.largest_shape(work.need, work.group) is None:
             need = _text(work.need)
             return f"No {where} in {self._shard} is large enough for {need}."
         if work.kind is not WorkKind.GANG:
--- a/src/poplaryard/starter.py
+++ b/src/poplaryard/starter.py
@@ -95,5 +95,5 @@
         """Return what one task of a job is charged."""
         if job.work.kind is WorkKind.REQUEST:
             return ZERO
-        limit = self._state.fleet.roomiest(job.work.need, job.work.group)
+        limit = self._state.fleet.largest_shape(job.work.need, job.work.group)
         return self._estimator.charge(job.work, limit or ZERO)
