--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -71,7 +71,7 @@
         self._estimator = estimator
         self._reserved: dict[bool, Reservation] = {}
 
-    def widest(self, need: Resources, group: str) -> int:
+    def max_parallel(self, need: Resources, group: str) -> int:
         """Return how many tasks the shard's VMs could run at once when empty."""
         shapes = self._state.fleet.shapes(group)
         return sum(count_fits(need, shape) * count for shape, count in shapes.items())
