--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -162,8 +162,8 @@
         outdated = _outdated(now, vm, msg)
         if not outdated:
             vm.clock_ms, vm.clock_at = msg.clock_ms, now
-        if msg.leaving or (vm.says_leaving and not outdated):
-            vm.says_leaving = msg.leaving
+        if msg.leaving or (vm.reported_leaving and not outdated):
+            vm.reported_leaving = msg.leaving
             self._note_leaving(now, vm)
         for report in msg.attempts:
             # That an attempt has ended stays true; that it runs may not.
@@ -237,7 +237,7 @@
             self._results.lost(now, attempt)
         if missing.in_doubt:
             self._doubtful[vm.name] = vm
-        vm.says_leaving = msg.leaving
+        vm.reported_leaving = msg.leaving
         self._note_leaving(now, vm)
         state.room_freed = True
         if not state.unseen:
@@ -285,7 +285,7 @@
             self._state.room_freed = True
 
     def _note_leaving(self, now: float, vm: Vm) -> None:
-        leaving = vm.listed_leaving or vm.says_leaving
+        leaving = vm.listed_leaving or vm.reported_leaving
         if leaving and not vm.leaving:
             self._state.audit_vm("leaving", vm.name)
         vm.leaving = leaving
--- a/src/poplaryard/fleet.py
+++ b/src/poplaryard/fleet.py
@@ -29,7 +29,7 @@
         Whether the worker has accepted the current epoch and answers.
     leaving : bool
         Whether the VM list or a ticket (`listed_leaving`) or the worker itself
-        (`says_leaving`) says that the VM leaves.
+        (`reported_leaving`) says that the VM leaves.
     ejected : bool
         Whether the worker gets no work because its starts fail.
     clock_ms : int
@@ -47,7 +47,7 @@
     claimed: bool = False
     leaving: bool = False
     listed_leaving: bool = False
-    says_leaving: bool = False
+    reported_leaving: bool = False
     ejected: bool = False
     clock_ms: int = 0
     clock_at: float = 0.0
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -66,7 +66,7 @@
 
     def leaves(self, now: float, vm: Vm) -> None:
         """Replace the replicas on a VM that leaves."""
-        close_at = now if vm.says_leaving else now + CLOSE_AFTER_S
+        close_at = now if vm.reported_leaving else now + CLOSE_AFTER_S
         for pool in self._state.pools.values():
             pool.retire(vm.name, close_at)
 
