--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -74,7 +74,7 @@
         state.room_freed = True
         if risen:
             state.owned_since = now
-            state.unseen = set(state.fleet.vms)
+            state.awaiting_first_claim = set(state.fleet.vms)
             for vm in state.fleet.vms.values():
                 self._claim(now, vm)
 
@@ -109,8 +109,8 @@
         if back or not known:
             # The VMs of a new term may be named after its authority.
             state = self._state
-            if state.unseen or now < state.owned_since + CLAIMS_WAIT_S:
-                state.unseen.add(vm.name)
+            if state.awaiting_first_claim or now < state.owned_since + CLAIMS_WAIT_S:
+                state.awaiting_first_claim.add(vm.name)
             self._claim(now, vm)
         self._note_leaving(now, vm)
 
@@ -223,7 +223,7 @@
         state = self._state
         vm.claimed = True
         vm.lost_at = float("inf")
-        state.unseen.discard(vm.name)
+        state.awaiting_first_claim.discard(vm.name)
         vm.clock_ms, vm.clock_at = msg.clock_ms, now
         self._unclaimed.pop(vm.name, None)
         self._doubtful.pop(vm.name, None)
@@ -240,7 +240,7 @@
         vm.reported_leaving = msg.leaving
         self._note_leaving(now, vm)
         state.room_freed = True
-        if not state.unseen:
+        if not state.awaiting_first_claim:
             # Until then each reconciliation would see only a part of the replicas.
             for pool in state.pools.values():
                 pool.changed = True
@@ -305,7 +305,7 @@
                 self._claim(now, vm)
         elif not vm.charges:
             self._state.fleet.remove(vm.name)
-            self._state.unseen.discard(vm.name)
+            self._state.awaiting_first_claim.discard(vm.name)
             self._health.forget(vm.name)
             del self._unclaimed[vm.name]
             self._gone.discard(vm.name)
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -111,8 +111,10 @@
         if now >= self._state.owned_since + CLAIMS_WAIT_S:
             return True
         vms = self._state.fleet.vms
-        unseen = (vms[name] for name in self._state.unseen if name in vms)
-        return all(vm.lost_at <= now for vm in unseen)
+        unclaimed = (
+            vms[name] for name in self._state.awaiting_first_claim if name in vms
+        )
+        return all(vm.lost_at <= now for vm in unclaimed)
 
     def _start_held(self, now: float, pool: ReplicaPool, missing: int) -> int:
         """Start replicas whose room has become free; return how many have room held."""
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -57,7 +57,7 @@
     ----------
     takeover : Takeover or None
         Progress of the take-over that began the present epoch, if it is known.
-    unseen : set of str
+    awaiting_first_claim : set of str
         VMs that have not been claimed since the present epoch began.
     out : list of Message
         Messages of the present call.
@@ -80,7 +80,7 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     quotas: Quotas = field(default_factory=Quotas)
     takeover: Takeover | None = None
-    unseen: set[str] = field(default_factory=set)
+    awaiting_first_claim: set[str] = field(default_factory=set)
     out: list[Message] = field(default_factory=list)
     room_freed: bool = False
     owned_since: float = float("-inf")
@@ -100,7 +100,7 @@
         """
         if self.takeover is not None:
             return self.authority.exclusive and self.takeover.serves_exclusive()
-        known = bool(self.fleet.vms) and not self.unseen
+        known = bool(self.fleet.vms) and not self.awaiting_first_claim
         return self.authority.exclusive and known
 
     def all_known(self, now: float, wall: float, work: Work) -> bool:
@@ -114,7 +114,7 @@
             return True
         if self.takeover is not None:
             return self.takeover.state == "complete"
-        return not self.unseen
+        return not self.awaiting_first_claim
 
     def may_run_unknown(self, issued_at: float) -> bool:
         """Tell whether a non-idempotent id that no worker reports has never run."""
