--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -202,13 +202,13 @@
             return
         entry.next_task = job.work.tasks - len(job.pending)
         self._queues.push(now, entry)
-        self._state.quotas.waits(job.work.team)
+        self._state.quotas.add_waiting(job.work.team)
         if entry.lane not in self._blocked:
             self._retry_pass = True
 
     def _remove(self, now: float, job: Job) -> None:
         if self._queues.remove(job.request_id, now) is not None:
-            self._state.quotas.left(job.work.team)
+            self._state.quotas.remove_waiting(job.work.team)
 
     def _started_at_once(self, now: float, job: Job) -> bool:
         """Start a job past an empty queue, or as backfill before a gang."""
--- a/src/poplaryard/bench_quota.py
+++ b/src/poplaryard/bench_quota.py
@@ -62,14 +62,14 @@
     for number, name in enumerate(names):
         quotas.charge(name, _NEED.times(1 + number % 7))
         if number % 2:
-            quotas.waits(name)
+            quotas.add_waiting(name)
     chosen = [rng.choice(names) for _ in range(_DECISIONS)]
     began = time.perf_counter()
     for name in chosen:
-        quotas.waits(name)
+        quotas.add_waiting(name)
         quotas.allowed(name, _NEED)
         quotas.least_waiting()
-        quotas.left(name)
+        quotas.remove_waiting(name)
         quotas.charge(name, _NEED)
         quotas.release(name, _NEED)
     return (time.perf_counter() - began) / _DECISIONS * 1e6
--- a/src/poplaryard/quota.py
+++ b/src/poplaryard/quota.py
@@ -58,14 +58,14 @@
         if team in self._waiting:
             heapq.heappush(self._least, (self.share(team), team))
 
-    def waits(self, team: str) -> None:
+    def add_waiting(self, team: str) -> None:
         """Count one more work of a team that waits."""
         self._activate(team)
         self._waiting[team] = self._waiting.get(team, 0) + 1
         if self._waiting[team] == 1:
             heapq.heappush(self._least, (self.share(team), team))
 
-    def left(self, team: str) -> None:
+    def remove_waiting(self, team: str) -> None:
         """Count one work less of a team that waits."""
         self._waiting[team] -= 1
         if not self._waiting[team]:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -23,7 +23,7 @@
     def test_borrower_leaves_the_last_capacity_to_a_team_below_its_share(self):
         """Guards against a team that is starved by a borrower."""
         self.quotas.charge("a", Resources(860, 0, 0))
-        self.quotas.waits("b")
+        self.quotas.add_waiting("b")
         self.assertFalse(self.quotas.allowed("a", Resources(100, 0, 0)))
         self.assertTrue(self.quotas.allowed("b", Resources(100, 0, 0)))
         self.assertAlmostEqual(0.36, self.quotas.over_share("a"))
@@ -31,13 +31,13 @@
     def test_team_that_waits_for_another_reason_does_not_stop_borrowing(self):
         """Guards against idle capacity while a team waits for the reserve."""
         self.quotas.charge("a", Resources(600, 0, 0))
-        self.quotas.waits("b")
+        self.quotas.add_waiting("b")
         self.assertTrue(self.quotas.allowed("a", Resources(100, 0, 0)))
 
     def test_work_without_a_need_is_not_bounded(self):
         """Guards against requests of a team whose services hold more than its share."""
         self.quotas.charge("a", Resources(950, 0, 0))
-        self.quotas.waits("b")
+        self.quotas.add_waiting("b")
         self.assertTrue(self.quotas.allowed("a", Resources()))
 
     def test_hard_limit_holds_on_an_idle_shard(self):
