--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -26,11 +26,11 @@
             return f"No {where} in {self._shard} is large enough for {need}."
         if work.kind is not WorkKind.GANG:
             return ""
-        max_parallel = gangs.max_parallel(work.need, work.group)
-        if max_parallel >= work.tasks:
+        limit = gangs.max_parallel(work.need, work.group)
+        if limit >= work.tasks:
             return ""
         return (
-            f"At most {max_parallel} of the {work.tasks} tasks of the gang can run at once "
+            f"At most {limit} of the {work.tasks} tasks of the gang can run at once "
             f"in {self._shard}."
         )
 
