--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -108,8 +108,8 @@
         job = self._state.jobs.get(report.request_id)
         if job is not None:
             job.attempts.add(attempt.attempt_id)
-            self._state.withdraw(job, report.task)
-            self._state.attempts.describe(attempt, job.work)
+            self._state.drop_pending(job, report.task)
+            self._state.attempts.set_work(attempt, job.work)
 
     def take_running(self, job: Job) -> None:
         """Take up the attempts of a job that an earlier owner started."""
@@ -117,7 +117,7 @@
             attempt = self._state.attempts.get(attempt_id)
             if attempt is not None:
                 job.attempts.add(attempt_id)
-                self._state.attempts.describe(attempt, job.work)
+                self._state.attempts.set_work(attempt, job.work)
 
     def found(self, now: float, report: AttemptReport) -> None:
         """Take the end of an attempt that is not in progress here.
@@ -131,7 +131,7 @@
         if job is None:
             return
         if report.task not in self.ledger.open_tasks(job.request_id):
-            self._state.withdraw(job, report.task)
+            self._state.drop_pending(job, report.task)
             job.ran = True
         if answer is not None:
             self._send(now, job, answer)
@@ -154,7 +154,9 @@
         It needs no retry budget: the losses are bounded by the failures of VMs.
         """
         job = self._state.end(now, attempt)
-        self._state.note("lost", attempt, "The worker is gone and its leases ended.")
+        self._state.audit_attempt(
+            "lost", attempt, "The worker is gone and its leases ended."
+        )
         answer = self.ledger.lost(now, attempt.attempt_id)
         if job is None:
             return
