--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -21,16 +21,16 @@
         if work.kind is WorkKind.REQUEST or not fleet.vms:
             return ""
         where = f"VM of group {work.group}" if work.group else "VM"
-        if fleet.roomiest(work.need, work.group) is None:
+        if fleet.largest_shape(work.need, work.group) is None:
             need = _text(work.need)
             return f"No {where} in {self._shard} is large enough for {need}."
         if work.kind is not WorkKind.GANG:
             return ""
-        widest = gangs.widest(work.need, work.group)
-        if widest >= work.tasks:
+        limit = gangs.max_parallel(work.need, work.group)
+        if limit >= work.tasks:
             return ""
         return (
-            f"At most {widest} of the {work.tasks} tasks of the gang can run at once "
+            f"At most {limit} of the {work.tasks} tasks of the gang can run at once "
             f"in {self._shard}."
         )
 
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -14,7 +14,7 @@
 from ..exceptions import LeaseLost, PoplaryardError, StoreDown, StoreReplyLost
 from ..logs import logger
 from . import records
-from .acceptance import Acceptance, Accepted
+from .acceptance import Acceptance, SubmitOutcome
 from .advice import Advisor, ChannelPool, LocalAdvisor
 from .membership import ProcessLease
 from .meters import Meters
@@ -22,7 +22,7 @@
 from .owner import GroupOwner, OwnerLimits, WorkerCalls
 from .relay import RelayedStorage
 from .storage import Change, Storage, Transaction
-from .watching import Watched
+from .watching import PrefixWatcher
 
 __all__ = ["StoreSchema", "Node", "NodeConfig", "Unavailable", "strength"]
 
@@ -200,12 +200,14 @@
         self._workers: dict[str, WorkerInfo] = {}
         self._unreadable: dict[str, bytes] = {}
         config_prefix = schema.config_key.rpartition("/")[0] + "/"
-        self._config_watch = Watched(storage, config_prefix, self._config_changed)
-        self._claim_watch = Watched(storage, "owner/", self._claim_changed)
+        self._config_watch = PrefixWatcher(storage, config_prefix, self._config_changed)
+        self._claim_watch = PrefixWatcher(storage, "owner/", self._claim_changed)
         self._members: dict[str, records.Member] = {}
         self._channels = ChannelPool(self._advisor)
-        self._member_watch = Watched(storage, "member/", self._member_changed, 2.0)
-        self._worker_watch = Watched(
+        self._member_watch = PrefixWatcher(
+            storage, "member/", self._member_changed, 2.0
+        )
+        self._worker_watch = PrefixWatcher(
             storage,
             schema.worker_prefix,
             self._worker_changed,
@@ -250,7 +252,7 @@
                 responses = await asyncio.gather(*(map(self._responds, sampled)))
                 isolated = not any(responses) and not self._relayed.direct_ok
             if isolated != self.isolated:
-                self.isolated = self._acceptance.cut_off = isolated
+                self.isolated = self._acceptance.isolated = isolated
                 logger.warning("cut off" if isolated else "no longer cut off")
 
     async def _responds(self, address: str) -> bool:
@@ -302,14 +304,14 @@
 
     # Client calls
 
-    async def submit(self, spec: JobSpec, retry_window_s: float = 0.0) -> Accepted:
+    async def submit(self, spec: JobSpec, retry_window_s: float = 0.0) -> SubmitOutcome:
         """Store a job; see `Acceptance.submit`."""
-        if self._relayed.away:
+        if self._relayed.store_unreachable:
             # No write was tried, so it is certain that the job will not run.
             extra = {"request": spec.job_id, "reason": "the store does not answer"}
             logger.info("job refused", extra=extra)
-            self.meters.count("poplaryard_jobs_total", Accepted.REFUSED.value)
-            return Accepted.REFUSED
+            self.meters.count("poplaryard_jobs_total", SubmitOutcome.REFUSED.value)
+            return SubmitOutcome.REFUSED
         began = self._clock.now()
         accepted = await self._acceptance.submit(spec, retry_window_s)
         self.meters.count("poplaryard_jobs_total", accepted.value)
@@ -354,7 +356,7 @@
                 raise Unavailable(exc.code, exc.detail) from exc
             logger.info("job cancelled", extra={"request": job_id})
             revision = found if isinstance(found, int) else 0
-            stored = records.Stored(group, revision, cancelled=[job_id])
+            stored = records.StoredJobs(group, revision, cancelled=[job_id])
             self._notify_owner(stored)
             return True
         return False
@@ -381,9 +383,9 @@
         """Notify the groups' owners of stored jobs, without waiting for an answer."""
         for group in {spec.group for spec in specs}:
             group_specs = [spec for spec in specs if spec.group == group]
-            self._notify_owner(records.Stored(group, revision, group_specs))
+            self._notify_owner(records.StoredJobs(group, revision, group_specs))
 
-    def _notify_owner(self, stored: records.Stored) -> None:
+    def _notify_owner(self, stored: records.StoredJobs) -> None:
         owner = self.owners.get(stored.group)
         if owner is not None:
             owner.jobs_stored(stored)
@@ -401,7 +403,7 @@
 
     def jobs_stored(self, body: bytes) -> None:
         """Handle a peer's notification of stored jobs; raises `msgspec.DecodeError`."""
-        stored = records.decode_stored(body)
+        stored = records.decode_stored_jobs(body)
         owner = self.owners.get(stored.group)
         if owner is not None:
             owner.jobs_stored(stored)
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -28,7 +28,7 @@
 from .partition import AdviceRequest, Partition, StartOrder, StopOrder
 from .runtime import CLOCK_DRIFT, LAPSE_SLACK_S, Worker
 from .storage import Change, Storage, Transaction
-from .watching import Watched
+from .watching import PrefixWatcher
 
 __all__ = ["GroupOwner", "OwnerLimits", "WorkerCalls"]
 
@@ -259,7 +259,7 @@
         )
         self._stored_workers = suspects
         self._stored_progress = {item.key: item.value for item in progress}
-        watch = Watched(
+        watch = PrefixWatcher(
             self._storage,
             records.job_prefix(self.group),
             self._job_changed,
@@ -268,7 +268,7 @@
         await watch.reload()
         self._stored_progress.clear()
         await self._record_workers(set(workers) - silent)
-        self.partition.keep_workers(_unrestricted(self._stored_workers))
+        self.partition.allow_starts_on(_unrestricted(self._stored_workers))
         self.loaded = True
         self._meters.count("poplaryard_owner_changes_total", "taken over")
         self._meters.observe("poplaryard_take_over_seconds", self._clock.now() - began)
@@ -438,14 +438,14 @@
                 workers[name] = Suspect(suspect.address, suspect.draining)
             # Either list may be in force until the outcome of the write is known.
             in_both = {name for name in workers if self._stored_unrestricted(name)}
-            partition.keep_workers(_unrestricted(workers) & in_both)
+            partition.allow_starts_on(_unrestricted(workers) & in_both)
             transaction = self._new_transaction()
             value = records.encode(workers)
             transaction.puts.append((records.workers_key(self.group), value, 0))
             if not await self._commit(transaction):
                 return False
             self._stored_workers = workers
-            partition.keep_workers(_unrestricted(workers))
+            partition.allow_starts_on(_unrestricted(workers))
             return True
 
     # Scheduling
@@ -593,7 +593,7 @@
             self._log_job(spec, fresh)
         partition.add_job(spec, now, fresh, progress)
 
-    def jobs_stored(self, stored: records.Stored) -> None:
+    def jobs_stored(self, stored: records.StoredJobs) -> None:
         """Handle jobs and cancellations that a process stored, ahead of the watch."""
         if self.partition is None or not self.loaded:
             return
@@ -616,7 +616,7 @@
                 "queue": spec.queue,
                 "steps": len(spec.steps),
                 "tasks": sum(step.count for step in spec.steps),
-                "chain_s": round(spec.chain_s(), 3),
+                "chain_s": round(spec.critical_path_s(), 3),
                 "fresh": fresh,
             },
         )
@@ -624,10 +624,10 @@
     async def _write_loop(self) -> None:
         partition = t.cast(Partition, self.partition)
         while True:
-            if not partition.notes_urgent:
+            if not partition.progress_urgent:
                 await self._wait_for_urgent_progress()
             now = self._clock.now()
-            if partition.has_notes and not await self._write_progress():
+            if partition.has_unwritten_progress and not await self._write_progress():
                 await asyncio.sleep(HOLD_RETRY_S)
             if now >= self._next_summary_at:
                 self._next_summary_at = now + SUMMARY_EVERY_S
@@ -654,12 +654,12 @@
     def _wake_loops(self) -> None:
         """Start a scheduling pass, and write progress now if it is urgent."""
         self._wake.set()
-        if self.partition is not None and self.partition.notes_urgent:
+        if self.partition is not None and self.partition.progress_urgent:
             self._write_wake.set()
 
     async def _write_progress(self) -> bool:
         partition = t.cast(Partition, self.partition)
-        notes = partition.take_notes()
+        notes = partition.take_progress()
         began = self._clock.now()
         entries = [
             (records.progress_key(self.group, job_id), value, 0)
@@ -670,9 +670,9 @@
             transaction = self._new_transaction()
             transaction.puts = entries[begin : begin + size]
             if not await self._commit(transaction):
-                partition.notes_failed(notes)
+                partition.progress_not_written(notes)
                 return False
-        partition.notes_written(notes)
+        partition.progress_written(notes)
         self._meters.observe("poplaryard_note_seconds", self._clock.now() - began)
         self._progress_written.set()
         self._progress_written.clear()
--- a/tests/workload/test_partition.py
+++ b/tests/workload/test_partition.py
@@ -1,6 +1,6 @@
-from poplaryard.workload.model import Ended, JobState, Progress, Suspect
+from poplaryard.workload.model import JobState, Progress, RunOutcome, Suspect
 from tests.workload.builders import ADVICE, job, step, worker_info
-from tests.workload.world import Cell
+from tests.workload.fakes import Cell
 
 JOB = "a" * 16
 # Workers of which an earlier owner left no list of tasks.
@@ -70,7 +70,7 @@
             cell._hold(cell.partition.workers[sim.info.worker_id], sim)
         cell.now += 0.05
     assert state(cell) is JobState.RUNNING
-    cell.partition.notes_written(cell.partition.take_notes())
+    cell.partition.progress_written(cell.partition.take_progress())
     assert state(cell) is JobState.DONE
 
 
@@ -84,10 +84,10 @@
     sim.advance(cell.now)
     cell._hold(worker, sim)
     assert (worker.seen_seq, worker.acked_seq) == (1, 0)
-    notes = cell.partition.take_notes()
-    cell.partition.notes_failed(notes)
+    notes = cell.partition.take_progress()
+    cell.partition.progress_not_written(notes)
     assert worker.acked_seq == 0
-    cell.partition.notes_written(cell.partition.take_notes())
+    cell.partition.progress_written(cell.partition.take_progress())
     assert worker.acked_seq == 1
 
 
@@ -248,7 +248,7 @@
     sim = cell.sims["w0"]
     sim.runs[f"{JOB}.0.0.0", 1] = [0, 0]
     del sim.runs[f"{JOB}.0.0.0", 1]
-    sim._end((f"{JOB}.0.0.0", 1), Ended.FAILED)
+    sim._end((f"{JOB}.0.0.0", 1), RunOutcome.FAILED)
     cell.submit(job(JOB, attempts=2), fresh=False, progress=progress)
     cell.run(3)
     assert state(cell) is JobState.DONE
