--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -290,7 +290,7 @@
             self._parking.wait_for_key(job)
             return True
         if not work.idempotent and not job.fresh:
-            job.fresh = self._state.may_run_unknown(work.issued_at)
+            job.fresh = self._state.may_run_unreported(work.issued_at)
             if not job.fresh:
                 self._results.give_up(now, job, Code.UNKNOWN_OUTCOME)
                 return True
--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -125,7 +125,7 @@
             message.wall,
             work,
             attempt=message.attempt,
-            may_run_unknown=work.idempotent or self._may_run_unknown(issued),
+            may_run_unreported=work.idempotent or self._may_run_unreported(issued),
         )
         if known.known is Known.ANSWERED and known.answer is not None:
             return [replace(known.answer, reply_to=message.reply_to)]
@@ -134,11 +134,11 @@
         self._wait(message)
         return []
 
-    def _may_run_unknown(self, issued_at: float) -> bool:
+    def _may_run_unreported(self, issued_at: float) -> bool:
         if not self._takeover.serves_exclusive():
             # Decided when it would be started.
             return True
-        return self._takeover.may_run_unknown(issued_at)
+        return self._takeover.may_run_unreported(issued_at)
 
     def _wait(self, message: Submit) -> None:
         waiting = self._requests.get(message.work.request_id)
@@ -298,7 +298,7 @@
             return []
         if not self._may_serve(work):
             return []
-        fresh = work.idempotent or self._takeover.may_run_unknown(work.issued_at)
+        fresh = work.idempotent or self._takeover.may_run_unreported(work.issued_at)
         if not fresh:
             return self._answered(self.ledger.doubt(now, request_id))
         out: list[t.Any] = []
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -192,7 +192,7 @@
         if self.lacks("claim"):
             weak.may_place = lambda vm: True
         if self.lacks("unknown_outcome"):
-            weak.may_run_unknown = lambda issued_at: True
+            weak.may_run_unreported = lambda issued_at: True
 
     def weaken_ledger(self, ledger: Ledger) -> None:
         """Take the check for known ids out of a ledger."""
--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -88,7 +88,7 @@
         work: Work,
         *,
         attempt: int | None = None,
-        may_run_unknown: bool = True,
+        may_run_unreported: bool = True,
     ) -> Registered:
         """Record a request, or tell what is known of its id.
 
@@ -98,15 +98,15 @@
             Number of the caller's attempt. A request answered "not run" is only taken
             again under a higher number; without numbers, it is taken again unless it
             was cancelled.
-        may_run_unknown : bool
-            Result of `Takeover.may_run_unknown` for this id.
+        may_run_unreported : bool
+            Result of `Takeover.may_run_unreported` for this id.
         """
         self.expire(now)
         entry = self._entries.get(work.request_id)
         if entry is not None:
-            return self._known(now, entry, work, attempt, may_run_unknown)
+            return self._known(now, entry, work, attempt, may_run_unreported)
         self._make_room()
-        code = self._refusal(wall, work, may_run_unknown)
+        code = self._refusal(wall, work, may_run_unreported)
         if code is not None:
             return Registered(Known.REFUSED, code=code)
         self._entries[work.request_id] = entry = _Entry(work.request_id)
@@ -267,7 +267,9 @@
             return
         del self._entries[request_id]
 
-    def _refusal(self, wall: float, work: Work, may_run_unknown: bool) -> Code | None:
+    def _refusal(
+        self, wall: float, work: Work, may_run_unreported: bool
+    ) -> Code | None:
         if len(self._entries) >= self._limit:
             return Code.QUEUE_FULL
         if work.idempotent:
@@ -280,7 +282,7 @@
         # before the first worker can have forgotten it.
         if wall - work.issued_at > self._retention_s - 2 * self._skew_s:
             return Code.ID_EXPIRED
-        return None if may_run_unknown else Code.UNKNOWN_OUTCOME
+        return None if may_run_unreported else Code.UNKNOWN_OUTCOME
 
     def _known(
         self,
@@ -288,11 +290,11 @@
         entry: _Entry,
         work: Work,
         attempt: int | None,
-        may_run_unknown: bool,
+        may_run_unreported: bool,
     ) -> Registered:
         if entry.digest is None:
             _describe(entry, work, attempt)
-            if not work.idempotent and not may_run_unknown:
+            if not work.idempotent and not may_run_unreported:
                 entry.spent.update(range(work.tasks))
                 entry.ran = True
             self._settle(now, entry)
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -197,13 +197,13 @@
 
     def _on_submit(self, now: float, msg: Submit) -> None:
         work, state = msg.work, self._state
-        fresh = work.idempotent or state.may_run_unknown(work.issued_at)
+        fresh = work.idempotent or state.may_run_unreported(work.issued_at)
         found = self._results.ledger.register(
             now,
             msg.wall,
             work,
             attempt=msg.attempt or None,
-            may_run_unknown=fresh,
+            may_run_unreported=fresh,
         )
         if found.answer is not None:
             state.out.append(replace(found.answer, reply_to=msg.reply_to))
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -116,12 +116,12 @@
             return self.takeover.state == "complete"
         return not self.unseen
 
-    def may_run_unknown(self, issued_at: float) -> bool:
+    def may_run_unreported(self, issued_at: float) -> bool:
         """Tell whether a non-idempotent id that no worker reports has never run."""
         if self.takeover is None or not self.serves_exclusive():
             # Decided when it would be started.
             return True
-        return self.takeover.may_run_unknown(issued_at)
+        return self.takeover.may_run_unreported(issued_at)
 
     def start(self, now: float, start: Start) -> Attempt | None:
         """Charge a VM and send it one start; None if the authority has lapsed."""
--- a/src/poplaryard/takeover.py
+++ b/src/poplaryard/takeover.py
@@ -125,7 +125,7 @@
         """Tell whether exclusive and non-idempotent work may be started."""
         return self.state in ("lapsed", "complete")
 
-    def may_run_unknown(self, issued_at: float) -> bool:
+    def may_run_unreported(self, issued_at: float) -> bool:
         """Tell whether a non-idempotent id that no report names has never run.
 
         If not, the answer is "unknown outcome".
--- a/tests/test_outcome.py
+++ b/tests/test_outcome.py
@@ -110,7 +110,7 @@
         """Guards against a task that ran on a worker that was not claimed."""
         self.ledger.adopt(0.0, report("a0"))
         item = once(tasks=2)
-        found = self.register(item, may_run_unknown=False)
+        found = self.register(item, may_run_unreported=False)
         self.assertEqual(Code.UNKNOWN_OUTCOME, found.answer.code)
 
     def test_doubtful_job_starts_no_more_tasks(self):
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,7 +24,7 @@
         self.assertFalse(taken.serves_exclusive())
         taken.handle(0.2, ClaimReply("vm2", 5, True))
         self.assertTrue(taken.serves_exclusive())
-        self.assertTrue(taken.may_run_unknown(WALL - 1))
+        self.assertTrue(taken.may_run_unreported(WALL - 1))
 
     def test_known_member_serves_after_the_lease_wait(self):
         """Guards against exclusive work that waits for ever for a dead worker."""
@@ -34,8 +34,8 @@
         self.assertFalse(taken.serves_exclusive())
         taken.handle(4.5, Tick())
         self.assertTrue(taken.serves_exclusive())
-        self.assertFalse(taken.may_run_unknown(WALL + 4))
-        self.assertTrue(taken.may_run_unknown(WALL + 6))
+        self.assertFalse(taken.may_run_unreported(WALL + 4))
+        self.assertTrue(taken.may_run_unreported(WALL + 6))
 
     def test_later_member_waits_for_the_claim_or_the_end_of_the_vm(self):
         """Guards against an old owner that does not know its successor."""
@@ -45,14 +45,14 @@
         self.assertFalse(taken.serves_exclusive())
         taken.handle(101.0, VmGone("vm2"))
         self.assertTrue(taken.serves_exclusive())
-        self.assertFalse(taken.may_run_unknown(WALL + 100))
-        self.assertTrue(taken.may_run_unknown(WALL + 107))
+        self.assertFalse(taken.may_run_unreported(WALL + 100))
+        self.assertTrue(taken.may_run_unreported(WALL + 107))
 
     def test_vm_that_left_before_this_process_listed_it_makes_old_ids_unknown(self):
         """Guards against a second run of an id whose worker has left the list."""
         taken = takeover((), listed_since=WALL - 10)
-        self.assertFalse(taken.may_run_unknown(WALL - 20))
-        self.assertTrue(taken.may_run_unknown(WALL - 1))
+        self.assertFalse(taken.may_run_unreported(WALL - 20))
+        self.assertTrue(taken.may_run_unreported(WALL - 1))
 
     def test_claims_are_complete_only_for_a_fresh_list(self):
         """Guards against a VM that the old owner uses and an older list lacks."""
