--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -26,7 +26,7 @@
     Work,
     WorkerUnreachable,
 )
-from .outcome import Known, Ledger
+from .outcome import Ledger, RequestStatus
 from .ownership import LEASE_TTL_S
 from .resources import ZERO, Resources
 from .takeover import CLAIM_RETRY_S, Takeover, VmListRead
@@ -127,9 +127,9 @@
             attempt=message.attempt,
             may_run_unreported=work.idempotent or self._may_run_unreported(issued),
         )
-        if known.known is Known.ANSWERED and known.answer is not None:
+        if known.status is RequestStatus.ANSWERED and known.answer is not None:
             return [replace(known.answer, reply_to=message.reply_to)]
-        if known.known is Known.REFUSED and known.code is not None:
+        if known.status is RequestStatus.REFUSED and known.code is not None:
             return [_refusal(message, known.code)]
         self._wait(message)
         return []
--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -8,14 +8,14 @@
 from .codes import Code, Outcome
 from .messages import Answer, AttemptReport, AttemptState, Work
 
-__all__ = ["Known", "Ledger", "Registered"]
+__all__ = ["RequestStatus", "Ledger", "Registered"]
 
 # Time for which answers to idempotent requests are kept. Running one again does no
 # harm, and at 500 requests/s ten minutes of answers would exceed the 64 MB limit.
 IDEMPOTENT_RETENTION_S = 30.0
 
 
-class Known(enum.Enum):
+class RequestStatus(enum.Enum):
     """What the ledger knows of a request when it is handed in."""
 
     NEW = "new"
@@ -28,7 +28,7 @@
 class Registered:
     """Result of `Ledger.register`; `answer` is set if answered, `code` if refused."""
 
-    known: Known
+    status: RequestStatus
     answer: Answer | None = None
     code: Code | None = None
 
@@ -108,10 +108,10 @@
         self._make_room()
         code = self._refusal(wall, work, may_run_unreported)
         if code is not None:
-            return Registered(Known.REFUSED, code=code)
+            return Registered(RequestStatus.REFUSED, code=code)
         self._entries[work.request_id] = entry = _Entry(work.request_id)
         _describe(entry, work, attempt)
-        return Registered(Known.NEW)
+        return Registered(RequestStatus.NEW)
 
     def may_start(self, request_id: str, task: int = 0) -> bool:
         """Tell whether an attempt of a task may be sent to a worker now."""
@@ -299,16 +299,16 @@
                 entry.ran = True
             self._settle(now, entry)
         elif entry.digest != _digest(work):
-            return Registered(Known.REFUSED, code=Code.DUPLICATE_MISMATCH)
+            return Registered(RequestStatus.REFUSED, code=Code.DUPLICATE_MISMATCH)
         if entry.answer is None:
             if attempt is not None:
                 entry.attempt_number = max(attempt, entry.attempt_number or 0)
-            return Registered(Known.PENDING)
+            return Registered(RequestStatus.PENDING)
         if _may_reopen(entry, attempt):
             entry.answer = None
             entry.attempt_number = attempt
-            return Registered(Known.NEW)
-        return Registered(Known.ANSWERED, answer=entry.answer)
+            return Registered(RequestStatus.NEW)
+        return Registered(RequestStatus.ANSWERED, answer=entry.answer)
 
     def _open(self, entry: _Entry, attempt_id: str, task: int) -> None:
         entry.attempts[attempt_id] = task
--- a/tests/test_outcome.py
+++ b/tests/test_outcome.py
@@ -2,7 +2,7 @@
 
 from poplaryard.codes import Code, Outcome
 from poplaryard.messages import AttemptReport, AttemptState
-from poplaryard.outcome import Known, Ledger
+from poplaryard.outcome import Ledger, RequestStatus
 from tests.builders import work
 
 WALL = 1_700_000_000.0
@@ -44,7 +44,7 @@
         answer = self.ledger.lost(9.0, "a1")
         self.assertEqual(Code.UNKNOWN_OUTCOME, answer.code)
         self.assertFalse(self.ledger.may_start("r1"))
-        self.assertEqual(Known.ANSWERED, self.register(once(), 10.0).known)
+        self.assertEqual(RequestStatus.ANSWERED, self.register(once(), 10.0).status)
 
     def test_late_report_corrects_an_unknown_outcome_for_later_askers(self):
         """Guards against an answer that stays unknown although the worker told it."""
@@ -75,8 +75,10 @@
         """Guards against a repeated message that runs work reported as not run."""
         self.register(once(), attempt=1)
         self.ledger.not_run(0.0, "r1", Code.QUEUE_FULL)
-        self.assertEqual(Known.ANSWERED, self.register(once(), attempt=1).known)
-        self.assertEqual(Known.NEW, self.register(once(), attempt=2).known)
+        self.assertEqual(
+            RequestStatus.ANSWERED, self.register(once(), attempt=1).status
+        )
+        self.assertEqual(RequestStatus.NEW, self.register(once(), attempt=2).status)
 
     def test_ids_are_refused_outside_the_retention_time(self):
         """Guards against an id that is run again after it was forgotten."""
@@ -100,7 +102,7 @@
         self.register(once("r2", exclusive_key="pass-7"))
         self.assertFalse(self.ledger.may_start("r2"))
         self.assertEqual(
-            Known.PENDING, self.register(once(exclusive_key="pass-7")).known
+            RequestStatus.PENDING, self.register(once(exclusive_key="pass-7")).status
         )
         self.assertEqual(("x",), self.ledger.report(1.0, report("a1", body="x")).parts)
         self.ledger.adopt(2.0, running)
