--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -300,7 +300,7 @@
             return []
         fresh = work.idempotent or self._takeover.may_run_unreported(work.issued_at)
         if not fresh:
-            return self._answered(self.ledger.doubt(now, request_id))
+            return self._answered(self.ledger.mark_uncertain(now, request_id))
         out: list[t.Any] = []
         for task in self.ledger.open_tasks(request_id):
             out += self._start(now, work, task)
--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -192,7 +192,7 @@
             return None
         return self.end(now, request_id, ran if entry.ran else not_run)
 
-    def doubt(self, now: float, request_id: str) -> Answer | None:
+    def mark_uncertain(self, now: float, request_id: str) -> Answer | None:
         """Start no more tasks: those without an attempt may have run elsewhere.
 
         Returns the answer "unknown outcome" unless attempts are in progress.
--- a/tests/test_outcome.py
+++ b/tests/test_outcome.py
@@ -122,7 +122,7 @@
         """
         self.ledger.adopt(0.0, report("a0", AttemptState.RUNNING))
         self.register(once(tasks=2))
-        self.assertIsNone(self.ledger.doubt(1.0, "r1"))
+        self.assertIsNone(self.ledger.mark_uncertain(1.0, "r1"))
         self.assertEqual([], self.ledger.open_tasks("r1"))
         answer = self.ledger.report(2.0, report("a0"))
         self.assertEqual(Code.UNKNOWN_OUTCOME, answer.code)
