--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -79,7 +79,7 @@
 
     def submit(self, now: float, job: Job) -> None:
         """Queue a new job, or refuse it."""
-        detail = self.reasons.never(job, self.gangs)
+        detail = self.reasons.unplaceable(job, self.gangs)
         if detail:
             self._results.refuse(now, job, Code.UNPLACEABLE, detail)
             return
--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -15,7 +15,7 @@
     def __init__(self, state: ShardState):
         self._state = state
 
-    def never(self, job: Job, gangs: Gangs) -> str:
+    def unplaceable(self, job: Job, gangs: Gangs) -> str:
         """Say why a job can never be placed here; empty if it can."""
         work, fleet = job.work, self._state.fleet
         if work.kind is WorkKind.REQUEST or not fleet.vms:
