--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -83,7 +83,7 @@
         if detail:
             self._results.refuse(now, job, Code.UNPLACEABLE, detail)
             return
-        detail = self.reasons.beyond_quota(job)
+        detail = self.reasons.exceeds_team_limit(job)
         if detail:
             self._results.refuse(now, job, Code.QUOTA_EXCEEDED, detail)
             return
--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -34,7 +34,7 @@
             f"in {self._shard}."
         )
 
-    def beyond_quota(self, job: Job) -> str:
+    def exceeds_team_limit(self, job: Job) -> str:
         """Say why a job exceeds its team's limit even alone; empty if it does not."""
         spec = self._state.config.teams.get(job.work.team)
         if spec is None or spec.limit is None:
