--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -320,7 +320,7 @@
             return False
         charge = self._starter.charge(job)
         if not self._state.quotas.allowed(job.work.team, charge):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if not self._queues.may_start(now, entry):
             job.reason = self.reasons.kept_for_short(job)
@@ -351,7 +351,7 @@
         charge = self._starter.charge(job)
         whole = charge.times(len(job.pending))
         if not self._state.quotas.allowed(job.work.team, whole):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if self.gangs.hold_all(job, charge):
             self._starter.start_all_held(now, job)
--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -45,7 +45,7 @@
             return ""
         return f"The work is larger than the limit of team {work.team}."
 
-    def over_quota(self, job: Job) -> str:
+    def team_at_limit(self, job: Job) -> str:
         """Say that a team must wait for others, or for its own work to end."""
         team = job.work.team
         return f"Team {team} is at its limit, or has its share while others wait."
