--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -47,7 +47,7 @@
             else:
                 pools[name] = ReplicaPool(spec)
 
-    def share_out(self) -> None:
+    def update_wanted(self) -> None:
         """Compute the part of each service's replicas that this shard runs."""
         config, shard = self._state.config, self._state.shard
         if config.vm_groups != self._groups or config.policy != self._policy:
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -118,7 +118,7 @@
         self._results.send_stops(now)
         if self._capacity_changed:
             self._capacity_changed = False
-            self._replicas.share_out()
+            self._replicas.update_wanted()
             self._backlog.configure()
         self._replicas.reconcile(now, type(msg) is Tick)
         self._backlog.run(now)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -40,7 +40,7 @@
         state = ShardState(shard, random.Random(1), config)
         replicas = Replicas(state, Preemptor(state))
         replicas.configure(config)
-        replicas.share_out()
+        replicas.update_wanted()
         total += state.pools["booking"].wanted
     assert total == 7
 
