--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -111,7 +111,7 @@
             self._state.withdraw(job, report.task)
             self._state.attempts.describe(attempt, job.work)
 
-    def take_running(self, job: Job) -> None:
+    def attach_running(self, job: Job) -> None:
         """Take up the attempts of a job that an earlier owner started."""
         for attempt_id in self.ledger.attempts(job.request_id):
             attempt = self._state.attempts.get(attempt_id)
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -220,7 +220,7 @@
         job = Job(work, msg.reply_to, now, deque(open_tasks))
         job.ran = not state.all_known(now, msg.wall, work)
         state.add_job(job)
-        self._results.take_running(job)
+        self._results.attach_running(job)
         if work.deadline <= now:
             self._results.expire(now)
         elif work.kind is WorkKind.REQUEST and work.target not in state.pools:
