--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -275,7 +275,7 @@
             self._health.record(now, vm, attempt, report)
             self._results.reported(now, attempt, report)
         elif not running:
-            self._results.found(now, report)
+            self._results.ended_untracked(now, report)
         elif running and vm.claimed:
             # Only a claim reply is complete enough to charge an unknown attempt.
             self._claim(now, vm)
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -119,7 +119,7 @@
                 job.attempts.add(attempt_id)
                 self._state.attempts.describe(attempt, job.work)
 
-    def found(self, now: float, report: AttemptReport) -> None:
+    def ended_untracked(self, now: float, report: AttemptReport) -> None:
         """Take the end of an attempt that is not in progress here.
 
         An earlier owner started it, or it was given up as lost.
