--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -273,7 +273,7 @@
             self._results.progress(vm, attempt, report)
         elif attempt is not None:
             self._health.record(now, vm, attempt, report)
-            self._results.reported(now, attempt, report)
+            self._results.ended(now, attempt, report)
         elif not running:
             self._results.ended_untracked(now, report)
         elif running and vm.claimed:
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -59,7 +59,7 @@
         self._estimator.saw_size(attempt.work, report.used)
         self._state.fleet.raise_charge(vm, attempt.attempt_id, report.used)
 
-    def reported(self, now: float, attempt: Attempt, report: AttemptReport) -> None:
+    def ended(self, now: float, attempt: Attempt, report: AttemptReport) -> None:
         """Settle an attempt that a worker reports as ended."""
         job = self._state.end(now, attempt)
         if attempt.is_replica:
