--- a/src/poplaryard/attempts.py
+++ b/src/poplaryard/attempts.py
@@ -112,7 +112,7 @@
         if attempt.is_replica:
             pool.add(attempt.attempt_id, vm.name, vm.spec.rack, attempt.work.need)
         elif attempt.executor:
-            pool.take(attempt.executor)
+            pool.take_slot(attempt.executor)
 
     def describe(self, attempt: Attempt, work: Work) -> None:
         """Take the whole request of an attempt that an earlier owner started."""
@@ -152,7 +152,7 @@
         if attempt.is_replica:
             pool.remove(attempt_id)
         elif attempt.executor:
-            pool.give_back(attempt.executor)
+            pool.release_slot(attempt.executor)
         return attempt
 
 
--- a/src/poplaryard/services.py
+++ b/src/poplaryard/services.py
@@ -118,11 +118,11 @@
         second = self._open[int(rng.random() * count)]
         return first if first.in_flight <= second.in_flight else second
 
-    def take(self, attempt_id: str) -> None:
+    def take_slot(self, attempt_id: str) -> None:
         """Occupy one slot."""
         self._count(attempt_id, 1)
 
-    def give_back(self, attempt_id: str) -> None:
+    def release_slot(self, attempt_id: str) -> None:
         """Free one slot."""
         self._count(attempt_id, -1)
 
