--- a/src/poplaryard/bench_retries.py
+++ b/src/poplaryard/bench_retries.py
@@ -58,7 +58,7 @@
         tries[int(now / _BIN_S)] += 1
         budget = budgets[req.entry]
         if req.attempts == 1:
-            budget.first(now)
+            budget.record_attempt(now)
         down = _DOWN_FROM_S <= now < _DOWN_UNTIL_S
         if not down and free_at - now <= _QUEUE_S:
             free_at = max(free_at, now) + 1.0 / _CAPACITY_PER_S
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -160,7 +160,7 @@
         pending.attempt = _next_attempt(0)
         self._open[work.request_id] = pending
         now = _clock.now()
-        self._budget.first(now)
+        self._budget.record_attempt(now)
         self._send(pending, now)
         return pending.fut
 
--- a/src/poplaryard/limits.py
+++ b/src/poplaryard/limits.py
@@ -42,7 +42,7 @@
         self._tokens = burst
         self._at: float | None = None
 
-    def first(self, now: float) -> None:
+    def record_attempt(self, now: float) -> None:
         """Count a first attempt."""
         self._earn(now, self._ratio)
 
--- a/src/poplaryard/starter.py
+++ b/src/poplaryard/starter.py
@@ -87,7 +87,7 @@
         held = None if is_request else charge
         self._queues.started(now, attempt.attempt_id, entry, held)
         self._admission.started(now, job.work)
-        self._results.budget.first(now)
+        self._results.budget.record_attempt(now)
         job.attempts.add(attempt.attempt_id)
         return True
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -11,7 +11,7 @@
         budget = RetryBudget(ratio=0.1, floor_per_s=0.0, burst=10.0)
         granted = 0
         for _ in range(1000):
-            budget.first(0.0)
+            budget.record_attempt(0.0)
             granted += budget.take(0.0)
         self.assertTrue(100 <= granted <= 110)
 
