--- a/src/poplaryard/resources.py
+++ b/src/poplaryard/resources.py
@@ -53,7 +53,7 @@
             and self.gpus <= free.gpus
         )
 
-    def times_in(self, free: "Resources") -> int:
+    def fit_count(self, free: "Resources") -> int:
         """Return how often this amount fits in `free`; a large number for nothing."""
         pairs = (
             (self.cpu_m, free.cpu_m),
--- a/src/poplaryard/workload/advising.py
+++ b/src/poplaryard/workload/advising.py
@@ -45,7 +45,7 @@
     wanted = PLACES_PER_TASK * step.remaining
     limit = step.spec.max_per_worker or step.remaining
     for number, worker in enumerate(workers, 1):
-        wanted -= min(step.need.times_in(rooms[worker]), limit)
+        wanted -= min(step.need.fit_count(rooms[worker]), limit)
         if wanted <= 0:
             return number
     return None
