--- a/src/poplaryard/acquisition.py
+++ b/src/poplaryard/acquisition.py
@@ -7,7 +7,7 @@
 
 __all__ = [
     "counts",
-    "free_owner",
+    "last_owner_if_free",
     "least_loaded",
     "live_members",
     "rank",
@@ -28,7 +28,7 @@
     return sorted(name for name, item in found if item.lease not in ended_leases)
 
 
-def free_owner(
+def last_owner_if_free(
     record: Record, shard: str, ended_leases: t.Container[str]
 ) -> str | None:
     """Return the last owner of a shard that may be taken, "" if it has none.
--- a/src/poplaryard/assignment.py
+++ b/src/poplaryard/assignment.py
@@ -87,9 +87,9 @@
         """Return the members whose lease has not been seen to end."""
         return acquisition.live_members(self.record, self.ended_leases)
 
-    def free_owner(self, shard: str) -> str | None:
+    def last_owner_if_free(self, shard: str) -> str | None:
         """Return the last owner of a shard that may be taken, else None."""
-        return acquisition.free_owner(self.record, shard, self.ended_leases)
+        return acquisition.last_owner_if_free(self.record, shard, self.ended_leases)
 
     def read_due(self, now: float) -> bool:
         """Tell whether the record is to be read again."""
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -184,7 +184,7 @@
         if self.lacks("known"):
             ownership._is_known = lambda old, before: True
         if self.lacks("lease_end"):
-            ownership._assignment.free_owner = ownership.owner_of
+            ownership._assignment.last_owner_if_free = ownership.owner_of
 
     def weaken_takeover(self, takeover: Takeover) -> None:
         """Take mechanisms out of a take-over."""
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -308,11 +308,15 @@
         return wait
 
     def _note_free(self, now: float) -> None:
-        free = [s for s in self._shards if self._assignment.free_owner(s) is not None]
+        free = [
+            s
+            for s in self._shards
+            if self._assignment.last_owner_if_free(s) is not None
+        ]
         self._free_since = {s: self._free_since.get(s, now) for s in free}
 
     def _may_take(self, now: float, shard: str) -> bool:
-        owner = self._assignment.free_owner(shard)
+        owner = self._assignment.last_owner_if_free(shard)
         if owner == self.process:
             return False
         return not owner or self.promises.given_until(owner) <= now
@@ -323,7 +327,7 @@
         uncertain = old is not None and not self._is_known(old, self.record)
         record = self.record.taken(shard, self.process, uncertain)
         taken = self._taken(shard, record.shards[shard].epoch)
-        victim = self._assignment.free_owner(shard) or ""
+        victim = self._assignment.last_owner_if_free(shard) or ""
         return self._assignment.send(record, (taken,), victim)
 
     def _shard_settled(self, now: float, message: ShardSettled) -> list[t.Any]:
