--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -325,7 +325,7 @@
         self._acquire_at = now + ACQUIRE_S
         old = self.record.shards.get(shard)
         uncertain = old is not None and not self._is_known(old, self.record)
-        record = self.record.taken(shard, self.process, uncertain)
+        record = self.record.with_owner(shard, self.process, uncertain)
         taken = self._taken(shard, record.shards[shard].epoch)
         victim = self._assignment.last_owner_if_free(shard) or ""
         return self._assignment.send(record, (taken,), victim)
@@ -343,7 +343,7 @@
             for shard, owned in self._owned.items()
             if owned.settled and self.record.shards[shard].uncertain
         ]
-        return self._assignment.send(self.record.settled(done)) if done else []
+        return self._assignment.send(self.record.with_settled(done)) if done else []
 
     # Release
 
@@ -368,7 +368,7 @@
             owned = self._owned.pop(shard, None)
             if owned is not None:
                 out.append(ShardReleased(shard, owned.epoch, successor))
-        record = self.record.released(chosen)
+        record = self.record.with_released(chosen)
         return out + self._assignment.send(record, releases=True)
 
     def _revoke(self) -> list[t.Any]:
--- a/src/poplaryard/record.py
+++ b/src/poplaryard/record.py
@@ -80,14 +80,14 @@
         members = {k: v for k, v in self.members.items() if k not in left}
         return replace(self, members=members)
 
-    def taken(self, shard: str, process: str, uncertain: bool = False) -> "Record":
+    def with_owner(self, shard: str, process: str, uncertain: bool = False) -> "Record":
         """Return the next record, in which the process owns the shard."""
         epoch = self.epoch + 1
         owner = ShardOwner(process, epoch, uncertain=uncertain)
         shards = {**self.shards, shard: owner}
         return replace(self, serial=self.serial + 1, epoch=epoch, shards=shards)
 
-    def released(self, shards: t.Mapping[str, str]) -> "Record":
+    def with_released(self, shards: t.Mapping[str, str]) -> "Record":
         """Return the next record, with each shard left to its named successor."""
         changed = {
             shard: replace(self.shards[shard], owner="", successor=successor)
@@ -95,7 +95,7 @@
         }
         return replace(self, serial=self.serial + 1, shards={**self.shards, **changed})
 
-    def settled(self, shards: t.Iterable[str]) -> "Record":
+    def with_settled(self, shards: t.Iterable[str]) -> "Record":
         """Return the next record, in which the shards' owners are certain."""
         changed = {s: replace(self.shards[s], uncertain=False) for s in shards}
         return replace(self, serial=self.serial + 1, shards={**self.shards, **changed})
--- a/tests/test_ownership_io.py
+++ b/tests/test_ownership_io.py
@@ -94,7 +94,7 @@
 
     def test_record_is_written_and_read_back(self):
         """Guards against an assignment that changes on its way through the store."""
-        record = Record().with_member("p#1", "a:1", "l1").taken("dc1/0", "p#1")
+        record = Record().with_member("p#1", "a:1", "l1").with_owner("dc1/0", "p#1")
         found = self.run_commands(WriteRecord(record, 0), ReadRecord())
         self.assertEqual(RecordWritten, type(found[0]))
         self.assertEqual(
