--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -64,7 +64,7 @@
         of_centre = split(spec.replicas, sizes.centres).get(centre, 0)
         return split(of_centre, sizes.shards).get(shard, 0)
 
-    def leaves(self, now: float, vm: Vm) -> None:
+    def vm_leaving(self, now: float, vm: Vm) -> None:
         """Replace the replicas on a VM that leaves."""
         close_at = now if vm.says_leaving else now + CLOSE_AFTER_S
         for pool in self._state.pools.values():
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -186,7 +186,7 @@
 
     def _on_leaving(self, now: float, vm: Vm) -> None:
         """Move replicas and checkpoint what can be; the rest finishes."""
-        self._replicas.leaves(now, vm)
+        self._replicas.vm_leaving(now, vm)
         self._backlog.gangs.vm_lost(vm)
         for attempt in self._state.attempts.on_vm(vm):
             work = attempt.work
