--- a/src/poplaryard/assignment.py
+++ b/src/poplaryard/assignment.py
@@ -92,11 +92,11 @@
         return acquisition.last_owner_if_free(self.record, shard, self.ended_leases)
 
     def read_due(self, now: float) -> bool:
-        """Tell whether the record is to be read again."""
+        """Return whether the record is to be read again."""
         return now >= self._read_at
 
     def may_write(self, now: float) -> bool:
-        """Tell whether a write may be sent."""
+        """Return whether a write may be sent."""
         fresh = self.view.version > self._stale
         return self.write is None and now >= self.write_at and fresh
 
--- a/src/poplaryard/clock.py
+++ b/src/poplaryard/clock.py
@@ -1,4 +1,4 @@
-"""Sources of time; decision objects are given times and never read a clock."""
+"""Clocks; the scheduling logic is passed the time and never reads a clock."""
 
 import time
 import typing as t
@@ -10,7 +10,7 @@
     """Source of monotonic and wall-clock time, both in seconds."""
 
     def now(self) -> float:
-        """Return monotonic time in seconds."""
+        """Return the monotonic time in seconds."""
 
     def wall(self) -> float:
         """Return seconds since the Unix epoch."""
@@ -20,7 +20,7 @@
     """Clock of the operating system."""
 
     def now(self) -> float:
-        """Return monotonic time in seconds, including time spent suspended."""
+        """Return the monotonic time in seconds, including time spent suspended."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
@@ -29,14 +29,14 @@
 
 
 class VirtualClock:
-    """Clock that moves only when told to.
+    """Clock that advances only by calls of `advance`, for simulations and tests.
 
     Parameters
     ----------
     start : float
-        First monotonic reading in seconds.
+        Initial monotonic time in seconds.
     wall_offset : float
-        Difference of wall-clock and monotonic time in seconds.
+        Wall-clock time minus monotonic time, in seconds.
     """
 
     def __init__(self, start: float = 0.0, wall_offset: float = 1_700_000_000.0):
@@ -52,6 +52,6 @@
         return self._now + self._wall_offset
 
     def advance(self, seconds: float) -> float:
-        """Move the clock forward and return the new monotonic time."""
+        """Advance the clock and return the new monotonic time."""
         self._now += seconds
         return self._now
--- a/src/poplaryard/heartbeats.py
+++ b/src/poplaryard/heartbeats.py
@@ -88,7 +88,7 @@
         self._heard_serial[message.sender] = max(seen, message.record_serial)
 
     def was_known_to(self, owner: str, record: Record) -> bool:
-        """Tell whether an old owner needed this member's promise.
+        """Return whether an old owner needed this member's promise.
 
         It did if it asked for one after it had seen this member in the record, or if it
         joined later itself.
--- a/src/poplaryard/messages.py
+++ b/src/poplaryard/messages.py
@@ -1,8 +1,8 @@
 """Typed messages between decision objects and the tasks that own sockets.
 
-Decision objects take ``(now, message)`` and return a list of messages. All times named
-`now`, `deadline` or `until` are seconds on the holder's monotonic clock; the wire
-carries remaining seconds instead.
+Decision objects hold the scheduling logic and do no I/O: they take ``(now, message)``
+and return a list of messages. All times named `now`, `deadline` or `until` are seconds
+on the local monotonic clock; an encoded message carries the remaining seconds instead.
 """
 
 import enum
@@ -41,7 +41,7 @@
 
 
 class WorkKind(enum.StrEnum):
-    """Kinds of work, each with its own policy."""
+    """Kind of work; each kind has its own placement policy."""
 
     SERVICE = "service"
     BATCH = "batch"
@@ -50,7 +50,7 @@
 
 
 class Priority(enum.IntEnum):
-    """Order of precedence; larger goes first."""
+    """Scheduling priority; work of a higher value goes first."""
 
     LOW = 0
     NORMAL = 1
@@ -68,7 +68,7 @@
 
 
 class StopMode(enum.StrEnum):
-    """How a worker is asked to end or slow an attempt."""
+    """How a worker is to end or slow down an attempt."""
 
     CHECKPOINT = "checkpoint"
     DRAIN = "drain"
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """Request of a caller: a job of one or more equal tasks.
+    """Work submitted by a caller: a job of one or more identical tasks.
 
     Attributes
     ----------
@@ -87,13 +87,15 @@
     target : str
         Service whose executors serve a `REQUEST`.
     need : Resources
-        Declared size of one task; zero for a `REQUEST`, which takes an executor slot.
+        Declared size of one task; zero for a `REQUEST`, which takes a slot of an
+        executor instead.
     declared_s : float
         Declared run time of one task in seconds.
     deadline : float
         Monotonic time by which the work must have started and been answered.
     issued_at : float
-        Issue time of the id, seconds since the Unix epoch; 0 if not given.
+        Time at which the caller issued the id, in seconds since the Unix epoch; 0 if
+        not given.
     """
 
     request_id: str
@@ -116,18 +118,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Submit:
-    """Work handed to a shard.
+    """Submission of work to a shard.
 
     Attributes
     ----------
     reply_to : str
-        Entry process that answers the caller.
+        Id of the entry process that answers the caller.
     wall : float
         Wall-clock time of receipt, seconds since the Unix epoch.
     attempt : int
-        Grows with each time that a caller hands the request in; the copies of one time
-        share it, so that a late copy does not revive a request answered "not run".
-        0 if unknown.
+        Number that increases each time the caller submits the request. All copies of
+        one submission share it, so that a delayed copy does not restart a request that
+        was answered "not run". 0 if unknown.
     """
 
     work: Work
@@ -145,14 +147,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Configure:
-    """New configuration in force."""
+    """A new configuration is in force."""
 
     config: Configuration
 
 
 @dataclass(frozen=True, slots=True)
 class VmUpdate:
-    """A VM is known, with whether it is leaving."""
+    """Entry of the VM list: a VM, and whether it is leaving."""
 
     vm: VmSpec
     leaving: bool = False
@@ -160,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmGone:
-    """A VM has left the list and its leases have lapsed."""
+    """A VM has left the VM list, and the leases of its tasks have lapsed."""
 
     vm: str
 
@@ -172,7 +174,7 @@
     Attributes
     ----------
     used : Resources
-        Measured use, which lags behind reality.
+        Measured usage; it lags behind the current usage.
     executor : str
         Attempt id of the service replica that ran a request; empty otherwise.
     """
@@ -194,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Answer of a worker to a claim: all running and recently ended attempts."""
+    """Answer of a worker to a claim, with all running and recently ended attempts."""
 
     vm: str
     epoch: int
@@ -218,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartReply:
-    """Answer of a worker to one start."""
+    """Answer of a worker to a `StartAttempt`."""
 
     vm: str
     attempt_id: str
@@ -252,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Passage of time."""
+    """Periodic call that triggers whatever is due by now."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -265,12 +267,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Command: start one task of a work on a worker.
+    """Command: start one task of a job on a worker.
 
     Attributes
     ----------
     valid_until_ms : int
-        Last moment, on the worker's monotonic clock, at which it may start.
+        Latest start time in milliseconds on the worker's monotonic clock.
     """
 
     vm: str
@@ -294,14 +296,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Whole answer to one request.
+    """Complete answer to one request.
 
     Attributes
     ----------
     parts : tuple
         One result per task, in task order.
     retry_after_s : float
-        Seconds after which a retry is worthwhile; 0 if none is.
+        Seconds after which a retry may succeed; 0 if there is no such advice.
     """
 
     request_id: str
@@ -315,12 +317,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AuditEvent:
-    """Action for the audit trail.
+    """Entry of the audit trail.
 
     Attributes
     ----------
     at : float
-        Seconds since the Unix epoch; decision objects leave it 0 and the task that owns
+        Seconds since the Unix epoch. Decision objects leave it at 0; the task that owns
         them sets it.
     """
 
--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -114,7 +114,7 @@
         return Registered(RequestStatus.NEW)
 
     def may_start(self, request_id: str, task: int = 0) -> bool:
-        """Tell whether an attempt of a task may be sent to a worker now."""
+        """Return whether an attempt of a task may be sent to a worker now."""
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not None or task in entry.parts:
             return False
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -237,7 +237,7 @@
         return ShardTaken(shard, epoch, old.owner, known, wait, handed_over=left)
 
     def _is_known(self, old: ShardOwner, before: Record) -> bool:
-        """Tell whether all authority over a shard has ended or soon ends."""
+        """Return whether all authority over a shard has ended or soon ends."""
         if old.uncertain:
             return False
         if not old.owner or self.promises.is_dead(old.owner):
--- a/src/poplaryard/promises.py
+++ b/src/poplaryard/promises.py
@@ -39,7 +39,7 @@
         self._dead.add(member)
 
     def is_dead(self, member: str) -> bool:
-        """Tell whether a process is proven dead."""
+        """Return whether a process is proven dead."""
         return member in self._dead
 
     def valid_until(self, members: t.Iterable[str]) -> float:
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -107,7 +107,7 @@
                 del self._state.pools[name]
 
     def _settled(self, now: float) -> bool:
-        """Tell whether the claims that follow a take-over have been answered."""
+        """Return whether the claims that follow a take-over have been answered."""
         if now >= self._state.owned_since + CLAIMS_WAIT_S:
             return True
         vms = self._state.fleet.vms
--- a/src/poplaryard/resources.py
+++ b/src/poplaryard/resources.py
@@ -5,18 +5,18 @@
 
 __all__ = ["ZERO", "Resources"]
 
-# Times that an amount of nothing fits anywhere.
+# Result of `fit_count` for an empty amount, which fits any number of times.
 MANY = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """Amount of processor time, memory and GPUs.
+    """Amount of CPU, memory and GPUs.
 
     Parameters
     ----------
     cpu_m : int
-        Processors in thousandths of a core.
+        CPU in thousandths of a core.
     mem_mb : int
         Memory in MB.
     gpus : int
@@ -46,7 +46,7 @@
         return Resources(self.cpu_m * count, self.mem_mb * count, self.gpus * count)
 
     def fits_in(self, free: "Resources") -> bool:
-        """Tell whether `free` holds at least this amount of each resource."""
+        """Return whether `free` holds at least this amount of each resource."""
         return (
             self.cpu_m <= free.cpu_m
             and self.mem_mb <= free.mem_mb
@@ -54,7 +54,10 @@
         )
 
     def fit_count(self, free: "Resources") -> int:
-        """Return how often this amount fits in `free`; a large number for nothing."""
+        """Return how many times this amount fits in `free`.
+
+        An empty amount fits `MANY` times.
+        """
         pairs = (
             (self.cpu_m, free.cpu_m),
             (self.mem_mb, free.mem_mb),
@@ -63,7 +66,7 @@
         return max(0, min((left // part for part, left in pairs if part), default=MANY))
 
     def maximum(self, other: "Resources") -> "Resources":
-        """Return the larger amount of each resource."""
+        """Return the element-wise maximum of both amounts."""
         return Resources(
             max(self.cpu_m, other.cpu_m),
             max(self.mem_mb, other.mem_mb),
--- a/src/poplaryard/statechart.py
+++ b/src/poplaryard/statechart.py
@@ -1,4 +1,4 @@
-"""State charts in JSON files, interpreted through `transitions`."""
+"""State charts defined in JSON files, read with the `transitions` package."""
 
 import functools
 import json
@@ -11,10 +11,10 @@
 
 
 class Chart:
-    """State chart whose state is kept by the user, one value per object.
+    """Transition table of a state chart; the caller stores the current state.
 
-    One machine serves any number of objects; a machine per VM would cost several KB
-    each.
+    One chart serves any number of objects. A `transitions.Machine` for each VM would
+    take several KB each.
 
     Parameters
     ----------
@@ -37,7 +37,7 @@
                 self._next[source, trigger] = str(found[0].dest)
 
     def step(self, state: str, trigger: str) -> str:
-        """Return the state after a trigger; the same state if it has no transition."""
+        """Return the next state, or `state` if the trigger has no transition there."""
         return self._next.get((state, trigger), state)
 
 
--- a/src/poplaryard/takeover.py
+++ b/src/poplaryard/takeover.py
@@ -118,15 +118,15 @@
         return out
 
     def may_place(self, vm: str) -> bool:
-        """Tell whether new work may be placed on a worker."""
+        """Return whether new work may be placed on a worker."""
         return vm in self._claimed and self.state != "superseded"
 
     def serves_exclusive(self) -> bool:
-        """Tell whether exclusive and non-idempotent work may be started."""
+        """Return whether exclusive and non-idempotent work may be started."""
         return self.state in ("lapsed", "complete")
 
     def may_run_unreported(self, issued_at: float) -> bool:
-        """Tell whether a non-idempotent id that no report names has never run.
+        """Return whether a non-idempotent id that no report names has never run.
 
         If not, the answer is "unknown outcome".
         """
--- a/src/poplaryard/wire.py
+++ b/src/poplaryard/wire.py
@@ -1,8 +1,8 @@
 """JSON encoding of messages.
 
 An encoded message is an object with its class name under ``type`` and the fields that
-differ from their defaults. Monotonic times are sent as remaining seconds, because
-clocks of two processes cannot be compared.
+differ from their defaults. Monotonic times are sent as remaining seconds, because the
+monotonic clocks of two processes cannot be compared.
 """
 
 import collections.abc
@@ -19,14 +19,14 @@
 
 __all__ = ["decode", "decode_as", "encode", "register"]
 
-# Fields that hold a moment on the sender's monotonic clock.
-_MOMENTS = frozenset({"deadline", "until"})
+# Fields that hold a time on the sender's monotonic clock.
+_MONOTONIC_TIMES = frozenset({"deadline", "until"})
 
 _Codec: t.TypeAlias = t.Callable[[t.Any, float], t.Any]
 
 
-class _Slot(t.NamedTuple):
-    """How one field is sent."""
+class _FieldCodec(t.NamedTuple):
+    """Name, default and codecs of one field; a codec of None keeps the value as is."""
 
     name: str
     default: t.Any
@@ -35,40 +35,40 @@
 
 
 _classes: dict[str, type] = {}
-_slots: dict[type, tuple[_Slot, ...]] = {}
+_field_codecs: dict[type, tuple[_FieldCodec, ...]] = {}
 
 
 def register(*classes: type) -> None:
-    """Make data classes known by name to `decode`."""
+    """Register data classes by name for `decode`."""
     for cls in classes:
         _classes[cls.__name__] = cls
 
 
 def encode(message: t.Any, now: float) -> dict[str, t.Any]:
     """Return the JSON object of a message."""
-    found = _encode_fields(message, now)
-    found["type"] = type(message).__name__
-    return found
+    encoded = _encode_fields(message, now)
+    encoded["type"] = type(message).__name__
+    return encoded
 
 
-def decode(found: t.Any, now: float) -> t.Any:
+def decode(encoded: t.Any, now: float) -> t.Any:
     """Return the message of a JSON object; raises `PoplaryardError` if invalid."""
-    name = found.get("type") if isinstance(found, dict) else None
+    name = encoded.get("type") if isinstance(encoded, dict) else None
     cls = _classes.get(name) if isinstance(name, str) else None
     if cls is None:
         raise PoplaryardError(Code.INVALID, f"There is no message type {name!r}.")
-    return decode_as(cls, found, now)
+    return decode_as(cls, encoded, now)
 
 
-def decode_as(cls: type, found: t.Any, now: float) -> t.Any:
+def decode_as(cls: type, encoded: t.Any, now: float) -> t.Any:
     """Return an instance of `cls`; raises `PoplaryardError` if it is invalid."""
     try:
         values = {
-            slot.name: slot.decode(found[slot.name], now)
-            if slot.decode
-            else found[slot.name]
-            for slot in _slots_of(cls)
-            if slot.name in found
+            codec.name: codec.decode(encoded[codec.name], now)
+            if codec.decode
+            else encoded[codec.name]
+            for codec in _field_codecs_of(cls)
+            if codec.name in encoded
         }
         return cls(**values)
     except (TypeError, ValueError, KeyError, AttributeError) as exc:
@@ -77,52 +77,54 @@
 
 
 def _encode_fields(value: t.Any, now: float) -> dict[str, t.Any]:
-    found: dict[str, t.Any] = {}
-    for name, default, encoder, _ in _slots_of(type(value)):
+    encoded: dict[str, t.Any] = {}
+    for name, default, encoder, _ in _field_codecs_of(type(value)):
         item = getattr(value, name)
         if item is default or item == default:
             continue
-        found[name] = encoder(item, now) if encoder else item
-    return found
+        encoded[name] = encoder(item, now) if encoder else item
+    return encoded
 
 
-def _slots_of(cls: type) -> tuple[_Slot, ...]:
-    slots = _slots.get(cls)
-    if slots is None:
+def _field_codecs_of(cls: type) -> tuple[_FieldCodec, ...]:
+    field_codecs = _field_codecs.get(cls)
+    if field_codecs is None:
         hints = t.get_type_hints(cls)
-        slots = tuple(_slot(field, hints[field.name]) for field in fields(cls))
-        _slots[cls] = slots
-    return slots
+        field_codecs = tuple(
+            _field_codec(field, hints[field.name]) for field in fields(cls)
+        )
+        _field_codecs[cls] = field_codecs
+    return field_codecs
 
 
-def _slot(field: Field[t.Any], hint: t.Any) -> _Slot:
+def _field_codec(field: Field[t.Any], hint: t.Any) -> _FieldCodec:
     default = _MISSING if field.default is MISSING else field.default
-    if field.name in _MOMENTS:
-        return _Slot(field.name, default, _remaining, _moment)
-    return _Slot(field.name, default, *_codecs(hint))
+    if field.name in _MONOTONIC_TIMES:
+        return _FieldCodec(field.name, default, _to_remaining, _from_remaining)
+    return _FieldCodec(field.name, default, *_codecs(hint))
 
 
-# Equal to no value, so that a field without default is always sent.
+# Sentinel that equals no value, so that a field without default is always sent.
 _MISSING = object()
 
 
-def _remaining(value: float, now: float) -> float | None:
+def _to_remaining(value: float, now: float) -> float | None:
     return None if math.isinf(value) else value - now
 
 
-def _moment(value: float | None, now: float) -> float:
+def _from_remaining(value: float | None, now: float) -> float:
     return math.inf if value is None else now + float(value)
 
 
 def _codecs(hint: t.Any) -> tuple[_Codec | None, _Codec | None]:
-    """Return how values of a type are encoded and decoded; None leaves them as is."""
+    """Return the encoder and decoder of a type; None leaves its values unchanged."""
     if isinstance(hint, types.UnionType):
         return _optional_codecs(hint)
     origin = t.get_origin(hint)
     if origin in (tuple, frozenset):
         inner, *others = t.get_args(hint)
         if others not in ([], [...]):
-            raise TypeError(f"{hint} mixes types, which JSON does not keep apart")
+            raise TypeError(f"{hint} mixes item types; a sequence must have one type")
         return _sequence_codecs(origin, inner)
     if origin is collections.abc.Mapping:
         return _mapping_codecs(t.get_args(hint)[1])
@@ -135,11 +137,11 @@
     if is_dataclass(hint):
         return _encode_fields, lambda value, now: decode_as(hint, value, now)
     if hint in (str, int, float, bool):
-        return None, _checked(hint)
+        return None, _type_checker(hint)
     return None, None
 
 
-def _checked(hint: type) -> _Codec:
+def _type_checker(hint: type) -> _Codec:
     def check(value: t.Any, _: float) -> t.Any:
         if type(value) is hint or (hint is float and type(value) is int):
             return value
@@ -151,10 +153,10 @@
 def _optional_codecs(hint: types.UnionType) -> tuple[_Codec | None, _Codec | None]:
     inner = [arg for arg in t.get_args(hint) if arg is not type(None)]
     encoder, decoder = _codecs(inner[0]) if len(inner) == 1 else (None, None)
-    return _skip_none(encoder), _skip_none(decoder)
+    return _keep_none(encoder), _keep_none(decoder)
 
 
-def _skip_none(codec: _Codec | None) -> _Codec | None:
+def _keep_none(codec: _Codec | None) -> _Codec | None:
     if codec is None:
         return None
     return lambda value, now: None if value is None else codec(value, now)
