--- a/src/poplaryard/ejection.py
+++ b/src/poplaryard/ejection.py
@@ -1,4 +1,4 @@
-"""Ejection of failing and slow VMs, with probes and a gradual return."""
+"""Outlier ejection: a circuit breaker for each VM, with probes and a gradual return."""
 
 import math
 from collections import deque
@@ -10,20 +10,25 @@
 
 _CHART = load_chart("ejection")
 
+# Number of recent results kept, fewest that are judged, and failed share that ejects.
 _WINDOW = 20
 _MIN_SAMPLES = 10
 _FAILED_SHARE = 0.5
-# A VM must also fail this factor more often than the others of its class. Otherwise the
-# fault is in the work, and ejection would only take capacity away.
+# A VM is ejected only if its failure rate is also this factor above that of the others
+# of its class. Otherwise the fault is in the work, and ejection only loses capacity.
 _FAILED_FACTOR = 2.0
+# Time without work after an ejection; each failed probe doubles it up to the maximum.
 _COOL_S = 5.0
 _MAX_COOL_S = 60.0
+# Probes that must succeed, and the share of normal work that a VM gets meanwhile.
 _PROBES = 3
 _PROBE_WEIGHT = 0.05
+# Time over which the weight then grows to 1.
 _RAMP_S = 20.0
+# Largest share of a class that is ejected at a time.
 _MAX_EJECTED = 0.5
-# A VM is slow if its run times are this factor above those of its class. Means are of
-# logarithms, so that a few long jobs do not make a VM slow.
+# A VM is slow if its run times are this factor above those of its class. Logarithms are
+# averaged, so that a few long jobs do not make a VM slow.
 _SLOW_FACTOR = 3.0
 _SLOW_WEIGHT = 0.1
 _SLOW_SAMPLES = 10
@@ -31,7 +36,7 @@
 
 @dataclass(slots=True)
 class _Mean:
-    """Exponentially weighted mean of the logarithm of run time ratios."""
+    """Exponentially weighted mean of the logarithm of actual to expected run time."""
 
     value: float = 0.0
     count: int = 0
@@ -44,7 +49,7 @@
 
 @dataclass(slots=True)
 class _Health:
-    """Recent results of one VM and its state in the chart."""
+    """Recent results of one VM, and its state in the ejection chart."""
 
     group: str = ""
     state: str = _CHART.initial
@@ -61,46 +66,50 @@
 
 
 class Ejector:
-    """Weights of VMs by their recent results.
+    """Computes the weight of each VM from its recent results.
 
-    A VM that fails half of its window, or is much slower than its class, is given no
-    work, then a few probes, then a share that grows to the full one. At most half of a
-    class of VMs is ejected.
+    A VM that fails half of its recent attempts, or is much slower than its class, gets
+    no work for a while, then a few probes, then a share that grows back to the full
+    one. At most half of a class of VMs is ejected at a time.
     """
 
     def __init__(self) -> None:
         self._vms: dict[str, _Health] = {}
-        self._sizes: dict[str, int] = {}
-        self._out: dict[str, int] = {}
+        self._class_sizes: dict[str, int] = {}
+        self._ejected: dict[str, int] = {}
         self._run_times: dict[str, _Mean] = {}
-        self._failed: dict[str, float] = {}
+        self._failed_shares: dict[str, float] = {}
 
     def add(self, vm: str, group: str = "") -> None:
-        """Take up a VM of a class; its size bounds how many can be ejected."""
+        """Add a VM to its class; the class size limits how many can be ejected."""
         if vm not in self._vms:
             self._vms[vm] = _Health(group)
-            self._sizes[group] = self._sizes.get(group, 0) + 1
+            self._class_sizes[group] = self._class_sizes.get(group, 0) + 1
 
     def forget(self, vm: str) -> None:
-        """Drop a VM that has left."""
+        """Remove a VM that has left."""
         health = self._vms.pop(vm, None)
         if health is not None:
-            self._note(health, None)
-            self._sizes[health.group] -= 1
-            self._out[health.group] = self._out.get(health.group, 0) - (
+            self._update_window(health, None)
+            self._class_sizes[health.group] -= 1
+            self._ejected[health.group] = self._ejected.get(health.group, 0) - (
                 health.state in ("open", "half_open")
             )
 
     def record(
         self, now: float, vm: str, ok: bool, elapsed_s: float, expected_s: float = 1.0
     ) -> None:
-        """Take the result of one attempt on a VM.
+        """Record the result of one attempt on a VM.
 
         Parameters
         ----------
+        ok : bool
+            Whether the attempt succeeded.
+        elapsed_s : float
+            Run time of the attempt in seconds.
         expected_s : float
-            Run time expected of the attempt in seconds. Without it, a VM that runs
-            only long work is taken for a slow one.
+            Expected run time of the attempt in seconds. Run times are compared as a
+            ratio to it, so that a VM that runs only long work does not count as slow.
         """
         self.add(vm)
         health = self._vms[vm]
@@ -114,14 +123,14 @@
                     elapsed_s / expected_s
                 )
         if health.state == "half_open":
-            self._probed(now, health, ok)
+            self._record_probe(now, health, ok)
             return
-        self._note(health, ok)
+        self._update_window(health, ok)
         if self._is_failing(health) or self._is_slow(health, _SLOW_SAMPLES):
             self._trip(now, health)
 
     def weight(self, now: float, vm: str) -> float:
-        """Return the share of its normal work that a VM may get, from 0 to 1."""
+        """Return the share of its normal work that a VM may get now, from 0 to 1."""
         health = self._vms.get(vm)
         if health is None:
             return 1.0
@@ -137,57 +146,62 @@
     def _advance(self, now: float, health: _Health) -> None:
         elapsed_s = now - health.since
         if health.state == "open" and elapsed_s >= health.cool_s:
-            self._move(now, health, "cooled")
+            self._apply(now, health, "cooled")
         elif health.state == "ramp" and elapsed_s >= _RAMP_S:
             health.cool_s = _COOL_S
-            self._move(now, health, "ramp_ended")
+            self._apply(now, health, "ramp_ended")
 
-    def _note(self, health: _Health, ok: bool | None) -> None:
-        """Add a result to the window of a VM, or clear it, and sum up its class."""
+    def _update_window(self, health: _Health, ok: bool | None) -> None:
+        """Append a result to the window of a VM, or clear the window if `ok` is None.
+
+        The sum of the failed shares of its class is updated.
+        """
         before = health.failed_share
         if ok is None:
             health.results.clear()
         else:
             health.results.append(ok)
         change = health.failed_share - before
-        self._failed[health.group] = self._failed.get(health.group, 0.0) + change
+        self._failed_shares[health.group] = (
+            self._failed_shares.get(health.group, 0.0) + change
+        )
 
     def _is_failing(self, health: _Health) -> bool:
         share = health.failed_share
         if len(health.results) < _MIN_SAMPLES or share < _FAILED_SHARE:
             return False
         group = health.group
-        others = max(1, self._sizes[group] - self._out.get(group, 0) - 1)
-        usual = (self._failed[group] - share) / others
-        return share >= _FAILED_FACTOR * usual
+        others = max(1, self._class_sizes[group] - self._ejected.get(group, 0) - 1)
+        mean_of_others = (self._failed_shares[group] - share) / others
+        return share >= _FAILED_FACTOR * mean_of_others
 
     def _is_slow(self, health: _Health, samples: int) -> bool:
-        usual = self._run_times.get(health.group)
-        if usual is None or min(health.run_time.count, usual.count) < samples:
+        class_mean = self._run_times.get(health.group)
+        if class_mean is None or min(health.run_time.count, class_mean.count) < samples:
             return False
-        return health.run_time.value - usual.value > math.log(_SLOW_FACTOR)
+        return health.run_time.value - class_mean.value > math.log(_SLOW_FACTOR)
 
-    def _probed(self, now: float, health: _Health, ok: bool) -> None:
+    def _record_probe(self, now: float, health: _Health, ok: bool) -> None:
         if not ok:
             health.cool_s = min(_MAX_COOL_S, 2 * health.cool_s)
-            self._move(now, health, "probe_failed")
+            self._apply(now, health, "probe_failed")
             return
         health.probes += 1
         if health.probes >= _PROBES:
             slow = self._is_slow(health, _PROBES)
-            self._move(now, health, "probe_failed" if slow else "probes_passed")
+            self._apply(now, health, "probe_failed" if slow else "probes_passed")
 
     def _trip(self, now: float, health: _Health) -> None:
-        out = self._out.get(health.group, 0)
-        if out + 1 <= _MAX_EJECTED * self._sizes[health.group]:
-            self._move(now, health, "trip")
+        ejected = self._ejected.get(health.group, 0)
+        if ejected + 1 <= _MAX_EJECTED * self._class_sizes[health.group]:
+            self._apply(now, health, "trip")
 
-    def _move(self, now: float, health: _Health, trigger: str) -> None:
-        was_out = health.state in ("open", "half_open")
+    def _apply(self, now: float, health: _Health, trigger: str) -> None:
+        was_ejected = health.state in ("open", "half_open")
         health.state = _CHART.step(health.state, trigger)
-        is_out = health.state in ("open", "half_open")
+        is_ejected = health.state in ("open", "half_open")
         health.since, health.probes = now, 0
-        self._note(health, None)
+        self._update_window(health, None)
         health.run_time = _Mean()
-        change = int(is_out) - int(was_out)
-        self._out[health.group] = self._out.get(health.group, 0) + change
+        change = int(is_ejected) - int(was_ejected)
+        self._ejected[health.group] = self._ejected.get(health.group, 0) + change
--- a/src/poplaryard/estimate.py
+++ b/src/poplaryard/estimate.py
@@ -1,4 +1,4 @@
-"""Sizes and run times learned from what tasks of the same class have used."""
+"""Estimates of size and run time, learned from finished tasks of the same class."""
 
 import math
 import typing as t
@@ -10,22 +10,23 @@
 
 __all__ = ["Estimator"]
 
-# Classes remembered; the one not seen for longest is dropped. An entry takes about
-# 1 KB, so that all take 1 MB.
+# Maximum number of job classes kept; the least recently updated one is evicted. At
+# about 1 KB per entry, all take 1 MB.
 CLASSES = 1024
 
-# Run times are counted in buckets that grow by the square root of two from 10 ms.
+# Run times are kept in a histogram. The first bucket ends at 10 ms, and the upper
+# bounds grow by a factor of the square root of two.
 _FIRST_S = 0.01
 _BUCKETS = 48
 
-# Counts are halved at this number, so that old run times lose weight.
+# Total at which all bucket counts are halved, so that old run times lose weight.
 _HALVE_AT = 256
 
-# Samples below which the declared run time is used.
+# With fewer samples than this, the declared run time is used.
 _MIN_SAMPLES = 5
 
-# Part of the distance by which a learned size shrinks at a smaller sample. Sizes are
-# charged, so they grow at once and shrink slowly.
+# Fraction of the difference by which a smaller sample lowers a learned size. VMs are
+# charged by learned sizes, so sizes rise at once and fall slowly.
 _SHRINK = 0.05
 
 _Key: t.TypeAlias = tuple[str, str, str, Resources]
@@ -33,16 +34,18 @@
 
 @dataclass(slots=True)
 class _Learned:
+    """Learned size and run time histogram of one job class."""
+
     size: Resources = ZERO
     counts: list[int] = field(default_factory=lambda: [0] * _BUCKETS)
     total: int = 0
 
 
 class Estimator:
-    """Estimates per job class; a class is a team's work of one name and size.
+    """Estimates for each job class: work of one team, class name, target and size.
 
-    Tasks of one name but of different declared sizes do not share a learned size, or
-    one large job would raise the charge of all.
+    The declared size is part of the key, because one large job would otherwise raise
+    the charge of all small jobs of the same name.
     """
 
     def __init__(self) -> None:
@@ -51,20 +54,20 @@
     def __len__(self) -> int:
         return len(self._classes)
 
-    def saw_size(self, work: Work, used: Resources) -> None:
-        """Learn from a measured use."""
+    def record_usage(self, work: Work, used: Resources) -> None:
+        """Update the learned size with the measured usage of a task."""
         if used == ZERO:
             return
         learned = self._entry(work)
         old = learned.size
         learned.size = Resources(
-            _toward(old.cpu_m, used.cpu_m),
-            _toward(old.mem_mb, used.mem_mb),
+            _updated_size(old.cpu_m, used.cpu_m),
+            _updated_size(old.mem_mb, used.mem_mb),
             max(old.gpus, used.gpus),
         )
 
-    def saw_time(self, work: Work, elapsed_s: float) -> None:
-        """Learn from a finished task's run time in seconds."""
+    def record_run_time(self, work: Work, elapsed_s: float) -> None:
+        """Add the run time of a finished task, in seconds."""
         if elapsed_s <= 0:
             return
         learned = self._entry(work)
@@ -75,10 +78,11 @@
             learned.total = sum(learned.counts)
 
     def charge(self, work: Work, limit: Resources) -> Resources:
-        """Return what to charge for one task.
+        """Return the resources to charge a VM for one task.
 
-        It is the larger of the declared and the learned size. The learned size counts
-        at most as `limit`, the largest VM, since work that has run can run again.
+        This is the element-wise maximum of the declared and the learned size. The
+        learned size is capped at `limit`, the size of the largest VM: work that has run
+        must not become too large for every VM.
         """
         learned = self._classes.get(_key(work))
         if learned is None or learned.size.fits_in(work.need):
@@ -91,7 +95,10 @@
         return bounded.maximum(work.need)
 
     def run_time_s(self, work: Work, quantile: float = 0.5) -> float:
-        """Return a quantile of the class's run times, or the declared one."""
+        """Return a quantile of the run times of the class, in seconds.
+
+        The declared run time is returned while there are too few samples.
+        """
         learned = self._classes.get(_key(work))
         if learned is None or learned.total < _MIN_SAMPLES:
             return work.declared_s
@@ -118,8 +125,8 @@
     return work.team, work.job_class, work.target, work.need
 
 
-def _toward(old: int, seen: int) -> int:
-    return max(seen, old - math.ceil((old - seen) * _SHRINK))
+def _updated_size(old: int, used: int) -> int:
+    return max(used, old - math.ceil((old - used) * _SHRINK))
 
 
 def _bucket(elapsed_s: float) -> int:
--- a/src/poplaryard/limits.py
+++ b/src/poplaryard/limits.py
@@ -1,4 +1,4 @@
-"""Retry budgets, in-flight limits and back-off."""
+"""Retry budgets, in-flight limits and exponential back-off."""
 
 import random
 
@@ -11,26 +11,26 @@
 def backoff_s(
     rng: random.Random, attempt: int, base_s: float = _BASE_S, cap_s: float = _CAP_S
 ) -> float:
-    """Return a wait with full jitter before retry number `attempt`, from 1.
+    """Return the wait in seconds before retry number `attempt`, counted from 1.
 
-    The wait is uniform between 0 and a bound that doubles with each attempt, which
-    spreads callers that failed together.
+    The wait has full jitter: it is uniform between 0 and a bound that doubles with each
+    attempt up to `cap_s`. This spreads the retries of callers that failed together.
     """
     bound = min(cap_s, base_s * 2.0 ** min(attempt - 1, 30))
     return rng.uniform(0.0, bound)
 
 
 class RetryBudget:
-    """Retries allowed as a fraction of first attempts, plus a floor.
+    """Token bucket that limits retries to a fraction of the first attempts.
 
     Parameters
     ----------
     ratio : float
-        Retries earned by each first attempt.
+        Retries added to the budget by each first attempt.
     floor_per_s : float
-        Retries per second allowed without any first attempts.
+        Retries added per second, whether or not there are first attempts.
     burst : float
-        Most retries that can be saved up.
+        Largest number of retries in the budget; it starts full.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._earn(now, self._ratio)
 
     def take(self, now: float) -> bool:
-        """Take one retry from the budget; False if it is used up."""
+        """Take one retry from the budget and return True; False if it is used up."""
         self._earn(now, 0.0)
         if self._tokens < 1.0:
             return False
@@ -62,12 +62,12 @@
 
 
 class InFlight:
-    """Bound on what is in flight to each key.
+    """Limit on the number of calls in flight for each key.
 
     Parameters
     ----------
     limit : int
-        Most in flight per key.
+        Largest number of calls in flight for one key.
     """
 
     def __init__(self, limit: int):
@@ -75,7 +75,7 @@
         self._counts: dict[str, int] = {}
 
     def take(self, key: str) -> bool:
-        """Take a place; False if the key is at its limit."""
+        """Count a call and return True; False if the key is at its limit."""
         count = self._counts.get(key, 0)
         if count >= self._limit:
             return False
@@ -83,7 +83,7 @@
         return True
 
     def release(self, key: str) -> None:
-        """Give a place back."""
+        """Count the end of a call."""
         count = self._counts[key] - 1
         if count:
             self._counts[key] = count
@@ -91,5 +91,5 @@
             del self._counts[key]
 
     def count(self, key: str) -> int:
-        """Return the number in flight to a key."""
+        """Return the number of calls in flight for a key."""
         return self._counts.get(key, 0)
--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -1,4 +1,4 @@
-"""Sentences that say why work waits or can never be placed."""
+"""Messages that explain why work waits or can never be placed."""
 
 from .gangs import Gangs
 from .jobs import Job
@@ -10,19 +10,19 @@
 
 
 class Reasons:
-    """Reasons in one shard, as `explain` and refusals give them."""
+    """Builds the reasons that one shard gives in `explain` and in refusals."""
 
     def __init__(self, state: ShardState):
         self._state = state
 
     def unplaceable(self, job: Job, gangs: Gangs) -> str:
-        """Say why a job can never be placed here; empty if it can."""
+        """Return why a job can never be placed in this shard; empty if it can."""
         work, fleet = job.work, self._state.fleet
         if work.kind is WorkKind.REQUEST or not fleet.vms:
             return ""
         where = f"VM of group {work.group}" if work.group else "VM"
         if fleet.roomiest(work.need, work.group) is None:
-            need = _text(work.need)
+            need = _resources_text(work.need)
             return f"No {where} in {self._shard} is large enough for {need}."
         if work.kind is not WorkKind.GANG:
             return ""
@@ -35,38 +35,38 @@
         )
 
     def exceeds_team_limit(self, job: Job) -> str:
-        """Say why a job exceeds its team's limit even alone; empty if it does not."""
+        """Return why a job alone exceeds its team's limit; empty if it does not."""
         spec = self._state.config.teams.get(job.work.team)
         if spec is None or spec.limit is None:
             return ""
         work = job.work
-        whole = work.tasks if work.kind is WorkKind.GANG else 1
-        if work.need.times(whole).fits_in(spec.limit):
+        tasks = work.tasks if work.kind is WorkKind.GANG else 1
+        if work.need.times(tasks).fits_in(spec.limit):
             return ""
         return f"The work is larger than the limit of team {work.team}."
 
     def team_at_limit(self, job: Job) -> str:
-        """Say that a team must wait for others, or for its own work to end."""
+        """Return that the team of a job is at its limit or over its fair share."""
         team = job.work.team
         return f"Team {team} is at its limit, or has its share while others wait."
 
     def kept_for_short(self, job: Job) -> str:
-        """Say that long work may not take more room now."""
+        """Return that the free capacity is reserved for short work."""
         return f"The room left in {self._shard} is kept for short work."
 
     def key_taken(self) -> str:
-        """Say that other work runs under the same exclusive key."""
+        """Return that other work runs under the same exclusive key."""
         return f"Other work runs under its exclusive key in {self._shard}."
 
     def no_room(self, job: Job, charge: Resources) -> str:
-        """Say what a job does not find now."""
+        """Return which resource a job waits for: executors, or free capacity."""
         work = job.work
         if work.kind is WorkKind.REQUEST:
             return f"All executors of {work.target} in {self._shard} are busy."
-        return f"No VM in {self._shard} has {_text(charge)} free now."
+        return f"No VM in {self._shard} has {_resources_text(charge)} free now."
 
     def gang_waits(self, job: Job, reserved: bool) -> str:
-        """Say what a gang waits for."""
+        """Return what a gang waits for."""
         count = len(job.pending)
         if reserved:
             return (
@@ -83,7 +83,7 @@
         return f"shard {self._state.shard}"
 
 
-def _text(need: Resources) -> str:
-    """Return an amount as words."""
+def _resources_text(need: Resources) -> str:
+    """Return an amount of resources as text."""
     text = f"{need.cpu_m / 1000:g} cores and {need.mem_mb} MB"
     return f"{text} and {need.gpus} GPUs" if need.gpus else text
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -1,4 +1,4 @@
-"""What attempts come to: retries, cancellations and the answers of jobs."""
+"""Results of attempts: retries, cancellations and the answers of jobs."""
 
 import typing as t
 from collections import deque
@@ -15,29 +15,30 @@
 
 __all__ = ["Results"]
 
+# Attempts at a task if its kind of work does not set a limit.
 MAX_ATTEMPTS = 3
 
-# Least wait before a start that a worker refused is tried again.
+# Shortest wait before a failed or refused start is retried.
 RETRY_DELAY_S = 0.05
 
-# Stops sent in one call. A wave of cancellations is spread over many calls, so that
-# placement goes on between them.
+# Largest number of stops sent in one call. Many cancellations at once are spread over
+# several calls, so that placement continues between them.
 STOP_SLICE = 32
 
-# A stop whose effect is not reported is sent again after this time.
+# Time after which a stop is repeated if the end of the attempt was not reported.
 STOP_AGAIN_S = 1.0
 
-# Answers in place of "not run" if the ledger knows that some attempt may have run.
+# Codes that replace a "not run" code if the ledger shows that an attempt may have run.
 _MAY_HAVE_RUN = {Code.EXPIRED: Code.TIMED_OUT, Code.CANCELLED: Code.STOPPED}
 
 
 class Results:
-    """Settles the attempts of a shard and answers its jobs, each once.
+    """Processes the results of attempts in a shard, and answers each job once.
 
     Parameters
     ----------
     requeue : callable
-        Takes a time and a job that has a task to start.
+        Called with the time and a job that has a task to start again.
     """
 
     def __init__(
@@ -51,25 +52,25 @@
         self._state = state
         self._estimator = estimator
         self._requeue = requeue
-        self._to_stop: deque[str] = deque()
-        self._stopping: deque[tuple[float, str]] = deque()
+        self._queued_stops: deque[str] = deque()
+        self._sent_stops: deque[tuple[float, str]] = deque()
 
     def progress(self, vm: Vm, attempt: Attempt, report: AttemptReport) -> None:
-        """Take the measured use of a running attempt."""
-        self._estimator.saw_size(attempt.work, report.used)
+        """Record the measured usage of a running attempt."""
+        self._estimator.record_usage(attempt.work, report.used)
         self._state.fleet.raise_charge(vm, attempt.attempt_id, report.used)
 
     def ended(self, now: float, attempt: Attempt, report: AttemptReport) -> None:
-        """Settle an attempt that a worker reports as ended."""
+        """Process a worker's report that an attempt has ended."""
         job = self._state.end(now, attempt)
         if attempt.is_replica:
             return
         if report.state is AttemptState.SUCCEEDED:
-            self._estimator.saw_size(attempt.work, report.used)
-            self._estimator.saw_time(attempt.work, report.elapsed_s)
+            self._estimator.record_usage(attempt.work, report.used)
+            self._estimator.record_run_time(attempt.work, report.elapsed_s)
         if job is not None:
             job.ran = True
-        if job is not None and self._tried_again(now, job, attempt, report):
+        if job is not None and self._retry_if_allowed(now, job, attempt, report):
             return
         answer = self.ledger.report(now, report)
         if job is None:
@@ -77,14 +78,18 @@
         if answer is not None:
             self._send(now, job, answer)
         elif job.cancelled:
-            self._settle_cancelled(now, job)
+            self._answer_cancelled(now, job)
         elif report.state in (AttemptState.CHECKPOINTED, AttemptState.STOPPED):
-            self._again(now, job, attempt.task)
+            self._requeue_task(now, job, attempt.task)
 
-    def _tried_again(
+    def _retry_if_allowed(
         self, now: float, job: Job, attempt: Attempt, report: AttemptReport
     ) -> bool:
-        """Run a failed or stopped task of idempotent work again if that is allowed."""
+        """Retry a failed or stopped task of idempotent work, within its limits.
+
+        Return True if the report needs no further processing: the task is retried, or
+        the job has been answered as stopped.
+        """
         failed = report.state in (AttemptState.FAILED, AttemptState.STOPPED)
         if not failed or attempt.preempted or not job.work.idempotent or job.cancelled:
             return False
@@ -101,7 +106,7 @@
         return False
 
     def adopted(self, now: float, attempt: Attempt, report: AttemptReport) -> None:
-        """Take an attempt that an earlier owner started."""
+        """Record a running attempt that an earlier owner of the shard started."""
         if attempt.is_replica:
             return
         self.ledger.adopt(now, report)
@@ -112,7 +117,7 @@
             self._state.attempts.describe(attempt, job.work)
 
     def attach_running(self, job: Job) -> None:
-        """Take up the attempts of a job that an earlier owner started."""
+        """Attach running attempts, which an earlier owner started, to their job."""
         for attempt_id in self.ledger.attempts(job.request_id):
             attempt = self._state.attempts.get(attempt_id)
             if attempt is not None:
@@ -120,9 +125,9 @@
                 self._state.attempts.describe(attempt, job.work)
 
     def ended_untracked(self, now: float, report: AttemptReport) -> None:
-        """Take the end of an attempt that is not in progress here.
+        """Process the end of an attempt that this process does not track as running.
 
-        An earlier owner started it, or it was given up as lost.
+        An earlier owner started it, or it was declared lost.
         """
         if report.kind is WorkKind.SERVICE:
             return
@@ -137,21 +142,22 @@
             self._send(now, job, answer)
 
     def not_run(self, now: float, attempt: Attempt) -> None:
-        """Settle an attempt that has not run and never will."""
+        """Process an attempt that has not run and never will."""
         job = self._state.end(now, attempt)
         self.ledger.refused(now, attempt.attempt_id)
         if job is None:
             return
         if job.cancelled:
-            self._settle_cancelled(now, job)
+            self._answer_cancelled(now, job)
             return
         job.refusals += 1
         self._retry(now, job, attempt.task, job.refusals)
 
     def lost(self, now: float, attempt: Attempt) -> None:
-        """Settle an attempt that has ended with its worker, with unknown effect.
+        """Process an attempt whose worker is lost, so that its effect is unknown.
 
-        It needs no retry budget: the losses are bounded by the failures of VMs.
+        Its retry is not charged to the retry budget, because the number of VM failures
+        already limits such retries.
         """
         job = self._state.end(now, attempt)
         self._state.note("lost", attempt, "The worker is gone and its leases ended.")
@@ -165,17 +171,20 @@
         elif job.cancelled or job.failures[attempt.task] >= self._max_attempts(job):
             self._end_job(now, job, Code.WORKER_LOST)
         elif job.work.idempotent:
-            self._again(now, job, attempt.task)
+            self._requeue_task(now, job, attempt.task)
 
     def cancel(self, now: float, job: Job) -> None:
-        """Start nothing more of a job; stop what may be stopped."""
+        """Cancel a job: start no more tasks, and stop the attempts that may be stopped.
+
+        It is answered at once if it has no attempt in progress.
+        """
         if job.cancelled:
             return
         job.cancelled = True
         job.pending.clear()
         self._state.close(now, job)
-        self.stop_later(job)
-        self._settle_cancelled(now, job)
+        self.queue_stops(job)
+        self._answer_cancelled(now, job)
 
     def expire(self, now: float) -> None:
         """Answer the jobs whose deadline has passed."""
@@ -193,7 +202,11 @@
         detail: str = "",
         retry_after_s: float = 0.0,
     ) -> None:
-        """Answer a job that has not run."""
+        """Answer a job that has not run.
+
+        If the ledger shows that it may have run, it is answered with the corresponding
+        code instead.
+        """
         answer = self.ledger.not_run(now, job.request_id, code)
         if answer is None:
             self._end_job(now, job, _MAY_HAVE_RUN.get(code, Code.UNKNOWN_OUTCOME))
@@ -204,39 +217,39 @@
         self._send(now, job, answer)
 
     def give_up(self, now: float, job: Job, code: Code) -> None:
-        """Answer a job with a code that leaves open whether it ran."""
+        """Answer a job with a code that does not say that it has not run."""
         self._end_job(now, job, code)
 
-    def stop_later(self, job: Job) -> None:
-        """Queue stops for the attempts of a job that may be stopped half-way."""
+    def queue_stops(self, job: Job) -> None:
+        """Queue stops for the attempts of a job whose running tasks may be stopped."""
         if job.stoppable:
-            self._to_stop.extend(sorted(job.attempts))
+            self._queued_stops.extend(sorted(job.attempts))
 
     def send_stops(self, now: float) -> None:
-        """Send a slice of the queued stops, and repeat those without effect."""
-        while self._stopping and self._stopping[0][0] <= now:
-            self._to_stop.append(self._stopping.popleft()[1])
-        for _ in range(min(STOP_SLICE, len(self._to_stop))):
-            attempt = self._state.attempts.get(self._to_stop.popleft())
+        """Send up to `STOP_SLICE` queued stops, and repeat those without effect."""
+        while self._sent_stops and self._sent_stops[0][0] <= now:
+            self._queued_stops.append(self._sent_stops.popleft()[1])
+        for _ in range(min(STOP_SLICE, len(self._queued_stops))):
+            attempt = self._state.attempts.get(self._queued_stops.popleft())
             if attempt is not None:
                 self._state.stop(now, attempt, StopMode.STOP)
-                self._stopping.append((now + STOP_AGAIN_S, attempt.attempt_id))
+                self._sent_stops.append((now + STOP_AGAIN_S, attempt.attempt_id))
 
     def _end_job(self, now: float, job: Job, code: Code) -> None:
         self._send(now, job, self.ledger.end(now, job.request_id, code))
 
     def _send(self, now: float, job: Job, answer: Answer | None) -> None:
-        """Close a job and send its one answer."""
+        """Close a job and send its answer, unless it was closed before."""
         if self._state.jobs.pop(job.request_id, None) is None:
             return
         job.pending.clear()
         self._state.close(now, job)
-        self.stop_later(job)
+        self.queue_stops(job)
         if answer is not None:
             self._state.out.append(replace(answer, reply_to=job.reply_to))
 
-    def _settle_cancelled(self, now: float, job: Job) -> None:
-        """Answer a cancelled job once it is certain whether it has run."""
+    def _answer_cancelled(self, now: float, job: Job) -> None:
+        """Answer a cancelled job once no attempt of it is in progress."""
         if job.attempts:
             return
         if job.ran:
@@ -251,9 +264,9 @@
     def _retry(self, now: float, job: Job, task: int, attempt: int) -> None:
         wait_s = max(RETRY_DELAY_S, backoff_s(self._state.rng, attempt))
         job.retry_at = now + wait_s
-        self._again(now, job, task)
+        self._requeue_task(now, job, task)
 
-    def _again(self, now: float, job: Job, task: int) -> None:
+    def _requeue_task(self, now: float, job: Job, task: int) -> None:
         if task not in job.pending:
             job.pending.append(task)
         self._requeue(now, job)
