--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -1,4 +1,4 @@
-"""Ledger of one shard: what is known of each request and its attempts."""
+"""Ledger of one shard: the attempts, results and answer of each request."""
 
 import enum
 import typing as t
@@ -10,13 +10,14 @@
 
 __all__ = ["RequestStatus", "Ledger", "Registered"]
 
-# Time for which answers to idempotent requests are kept. Running one again does no
-# harm, and at 500 requests/s ten minutes of answers would exceed the 64 MB limit.
+# Time for which answers to idempotent requests are kept. Running such a request again
+# does no harm, and at 500 requests/s the answers of 10 min would exceed the memory
+# limit of 64 MB.
 IDEMPOTENT_RETENTION_S = 30.0
 
 
 class RequestStatus(enum.Enum):
-    """What the ledger knows of a request when it is handed in."""
+    """Status of a request in the ledger when it is submitted."""
 
     NEW = "new"
     PENDING = "pending"
@@ -26,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Registered:
-    """Result of `Ledger.register`; `answer` is set if answered, `code` if refused."""
+    """Result of `Ledger.register`.
+
+    `answer` is set if the request was answered before, `code` if it is refused.
+    """
 
     status: RequestStatus
     answer: Answer | None = None
@@ -35,35 +39,42 @@
 
 @dataclass(slots=True)
 class _Entry:
+    """Ledger entry of one request."""
+
     request_id: str
-    # Number of tasks; 0 until the request itself is seen after a take-over.
+    # Number of tasks; 0 after a take-over until the request itself is submitted, as
+    # reports of its attempts do not give the number.
     tasks: int = 0
     digest: int | None = None
     idempotent: bool = False
     exclusive_key: str = ""
     attempt_number: int | None = None
+    # Task of each attempt in progress, by attempt id.
     attempts: dict[str, int] = field(default_factory=dict)
-    # Attempts that have ended; a report of them that arrives late changes nothing.
+    # Attempts that have ended. A late report that one is running must not reopen it.
     closed: set[str] = field(default_factory=set)
     # Tasks of non-idempotent work that may have run and must not be started again.
     spent: set[int] = field(default_factory=set)
+    # Final state and result of each ended task.
     parts: dict[int, tuple[AttemptState, t.Any]] = field(default_factory=dict)
-    # Some attempt may have run, even if its task may be started again.
-    ran: bool = False
+    # Whether any attempt may have run, even if its task may be started again.
+    may_have_run: bool = False
     answer: Answer | None = None
 
 
 class Ledger:
-    """Maps each request id to its attempts and answer, at most once for each answer.
+    """Maps each request id to its attempts and its answer, and deduplicates requests.
+
+    Methods that complete a request return its `Answer`; each request is answered once.
 
     Parameters
     ----------
     retention_s : float
-        Time in seconds for which workers and the ledger remember an id.
+        Time in seconds for which workers and the ledger keep an id.
     skew_s : float
-        Largest difference of two wall clocks in seconds.
+        Largest difference between two wall clocks in seconds.
     limit : int
-        Largest number of requests remembered.
+        Largest number of requests kept.
     """
 
     def __init__(
@@ -75,8 +86,10 @@
         self._entries: dict[str, _Entry] = {}
         self._by_attempt: dict[str, str] = {}
         self._keys: dict[str, set[str]] = {}
-        self._kept: deque[tuple[float, str, Answer | None]] = deque()
-        self._kept_briefly: deque[tuple[float, str, Answer | None]] = deque()
+        # Scheduled removals (time, request id, answer), in the order of time. Requests
+        # that are idempotent have a queue of their own, as they are kept for less time.
+        self._removals: deque[tuple[float, str, Answer | None]] = deque()
+        self._early_removals: deque[tuple[float, str, Answer | None]] = deque()
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -90,13 +103,13 @@
         attempt: int | None = None,
         may_run_unreported: bool = True,
     ) -> Registered:
-        """Record a request, or tell what is known of its id.
+        """Record a request, or return the status of the request recorded under its id.
 
         Parameters
         ----------
         attempt : int, optional
-            Number of the caller's attempt. A request answered "not run" is only taken
-            again under a higher number; without numbers, it is taken again unless it
+            Number of the submission. A request answered "not run" is accepted again
+            only under a higher number; without numbers, it is accepted again unless it
             was cancelled.
         may_run_unreported : bool
             Result of `Takeover.may_run_unreported` for this id.
@@ -105,12 +118,12 @@
         entry = self._entries.get(work.request_id)
         if entry is not None:
             return self._known(now, entry, work, attempt, may_run_unreported)
-        self._make_room()
+        self._evict_oldest()
         code = self._refusal(wall, work, may_run_unreported)
         if code is not None:
             return Registered(RequestStatus.REFUSED, code=code)
         self._entries[work.request_id] = entry = _Entry(work.request_id)
-        _describe(entry, work, attempt)
+        _set_request(entry, work, attempt)
         return Registered(RequestStatus.NEW)
 
     def may_start(self, request_id: str, task: int = 0) -> bool:
@@ -123,7 +136,7 @@
         return not entry.exclusive_key or not self._keys.get(entry.exclusive_key)
 
     def started(self, now: float, request_id: str, attempt_id: str, task: int) -> None:
-        """Record an attempt; call this before the start is sent."""
+        """Record an attempt; to be called before the start is sent."""
         entry = self._entries[request_id]
         self._open(entry, attempt_id, task)
         if not entry.idempotent:
@@ -136,17 +149,17 @@
             entry.spent.discard(task)
 
     def report(self, now: float, report: AttemptReport) -> Answer | None:
-        """Take a worker's report; return the whole answer if this completes it.
+        """Process a worker's report; return the answer if it completes the request.
 
         A checkpointed task, and a stopped task of an idempotent request, may be started
-        again; `end` answers the request instead.
+        again. To answer the request instead, call `end`.
         """
         entry = self._entries.get(report.request_id)
         if entry is None or report.state is AttemptState.RUNNING:
             return None
         self._close(report.attempt_id)
         entry.closed.add(report.attempt_id)
-        entry.ran = True
+        entry.may_have_run = True
         if report.state is AttemptState.CHECKPOINTED:
             entry.spent.discard(report.task)
             return None
@@ -156,7 +169,7 @@
         return self._settle(now, entry)
 
     def lost(self, now: float, attempt_id: str) -> Answer | None:
-        """Record that an attempt's worker is gone and its lease wait has ended.
+        """Record that the worker of an attempt is lost and the task lease has lapsed.
 
         A task of an idempotent request may be started again; a non-idempotent request
         is answered "unknown outcome".
@@ -164,55 +177,57 @@
         entry, _ = self._close(attempt_id)
         if entry is None:
             return None
-        entry.ran = True
+        entry.may_have_run = True
         return self._settle(now, entry)
 
     def not_run(self, now: float, request_id: str, code: Code) -> Answer | None:
-        """Answer a request that has no attempt in progress and will get none.
+        """Answer a request that has not run and will not be started.
 
-        Returns None if it is answered already or may have run; in the latter case the
-        answer follows from the reports of its attempts.
+        Returns None if it is already answered, has an attempt in progress or may have
+        run. In the last two cases the reports of its attempts decide the answer.
         """
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not None:
             return None
-        if entry.attempts or entry.ran:
+        if entry.attempts or entry.may_have_run:
             return None
         return self._answer(now, entry, code)
 
     def conclude(
         self, now: float, request_id: str, *, not_run: Code, ran: Code
     ) -> Answer | None:
-        """Answer a request for which nothing more is to be started.
+        """Answer a request of which nothing more will be started.
 
-        Returns None while it has attempts in progress, which must be stopped first.
+        The code is `ran` if it may have run, else `not_run`. Returns None while it has
+        attempts in progress, which must be stopped first.
         """
         entry = self._entries.get(request_id)
         if entry is None or entry.attempts:
             return None
-        return self.end(now, request_id, ran if entry.ran else not_run)
+        return self.end(now, request_id, ran if entry.may_have_run else not_run)
 
     def mark_uncertain(self, now: float, request_id: str) -> Answer | None:
-        """Start no more tasks: those without an attempt may have run elsewhere.
+        """Record that tasks without an attempt may have run under an earlier owner.
 
-        Returns the answer "unknown outcome" unless attempts are in progress.
+        None of them may be started any more. Returns the answer "unknown outcome"
+        unless attempts are in progress.
         """
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not None:
             return None
         entry.spent.update(range(entry.tasks))
-        entry.ran = True
+        entry.may_have_run = True
         return self._settle(now, entry)
 
     def end(self, now: float, request_id: str, code: Code) -> Answer | None:
-        """Answer a request with a code that allows for its attempts in progress."""
+        """Answer a request with `code`, even if it has attempts in progress."""
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not None:
             return None
         return self._answer(now, entry, code)
 
     def adopt(self, now: float, report: AttemptReport) -> Answer | None:
-        """Take a report of an attempt that an earlier owner started."""
+        """Process a report of an attempt that an earlier owner started."""
         entry = self._entries.get(report.request_id)
         if entry is None:
             entry = _Entry(report.request_id, exclusive_key=report.exclusive_key)
@@ -221,13 +236,13 @@
             return self.report(now, report)
         if report.attempt_id not in entry.closed:
             self._open(entry, report.attempt_id, report.task)
-            entry.ran = True
+            entry.may_have_run = True
             if not entry.idempotent:
                 entry.spent.add(report.task)
         return None
 
     def attempts(self, request_id: str) -> dict[str, int]:
-        """Return the attempts in progress of a request and the task of each."""
+        """Return the task of each attempt of a request that is in progress."""
         entry = self._entries.get(request_id)
         return dict(entry.attempts) if entry else {}
 
@@ -240,7 +255,7 @@
         return [task for task in range(entry.tasks) if task not in taken]
 
     def holder(self, exclusive_key: str) -> str | None:
-        """Return a request that runs under an exclusive key, or None."""
+        """Return the id of a request that runs under an exclusive key, or None."""
         return min(self._keys.get(exclusive_key, ()), default=None)
 
     def answer(self, request_id: str) -> Answer | None:
@@ -249,19 +264,19 @@
         return entry.answer if entry else None
 
     def expire(self, now: float) -> None:
-        """Forget answers whose retention time has ended."""
-        for kept in (self._kept, self._kept_briefly):
-            while kept and kept[0][0] <= now:
-                _, request_id, answer = kept.popleft()
-                self._forget(request_id, answer)
-
-    def _make_room(self) -> None:
-        """Forget the oldest answers to idempotent requests if the ledger is full."""
-        while len(self._entries) >= self._limit and self._kept_briefly:
-            _, request_id, answer = self._kept_briefly.popleft()
-            self._forget(request_id, answer)
-
-    def _forget(self, request_id: str, answer: Answer | None) -> None:
+        """Remove entries whose retention time has ended."""
+        for removals in (self._removals, self._early_removals):
+            while removals and removals[0][0] <= now:
+                _, request_id, answer = removals.popleft()
+                self._evict(request_id, answer)
+
+    def _evict_oldest(self) -> None:
+        """Evict the oldest answers to idempotent requests if the ledger is full."""
+        while len(self._entries) >= self._limit and self._early_removals:
+            _, request_id, answer = self._early_removals.popleft()
+            self._evict(request_id, answer)
+
+    def _evict(self, request_id: str, answer: Answer | None) -> None:
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not answer or entry.attempts:
             return
@@ -278,8 +293,8 @@
             return Code.INVALID
         if work.issued_at > wall + self._skew_s:
             return Code.ID_IN_FUTURE
-        # An id may be issued and checked by clocks that differ, and must be refused
-        # before the first worker can have forgotten it.
+        # The clocks that issue and check an id may differ, and the id must be refused
+        # before any worker can have dropped it.
         if wall - work.issued_at > self._retention_s - 2 * self._skew_s:
             return Code.ID_EXPIRED
         return None if may_run_unreported else Code.UNKNOWN_OUTCOME
@@ -293,10 +308,10 @@
         may_run_unreported: bool,
     ) -> Registered:
         if entry.digest is None:
-            _describe(entry, work, attempt)
+            _set_request(entry, work, attempt)
             if not work.idempotent and not may_run_unreported:
                 entry.spent.update(range(work.tasks))
-                entry.ran = True
+                entry.may_have_run = True
             self._settle(now, entry)
         elif entry.digest != _digest(work):
             return Registered(RequestStatus.REFUSED, code=Code.DUPLICATE_MISMATCH)
@@ -335,31 +350,36 @@
                 del self._keys[entry.exclusive_key]
 
     def _settle(self, now: float, entry: _Entry) -> Answer | None:
-        """Answer a request that is whole, or that can no longer become whole."""
+        """Answer a request if all its tasks have ended, or if some never can.
+
+        The second case is a non-idempotent request with a task that may have run but
+        has no result: the answer is "unknown outcome".
+        """
         if entry.tasks == 0:
             if not entry.attempts:
-                self._keep(now, entry, None)
+                self._schedule_removal(now, entry, None)
             return None
         if len(entry.parts) == entry.tasks:
-            return self._whole(now, entry)
+            return self._complete(now, entry)
         if entry.idempotent or entry.attempts or entry.answer is not None:
             return None
         if entry.spent <= entry.parts.keys():
             return None
         return self._answer(now, entry, Code.UNKNOWN_OUTCOME)
 
-    def _whole(self, now: float, entry: _Entry) -> Answer | None:
+    def _complete(self, now: float, entry: _Entry) -> Answer | None:
         states = {state for state, _ in entry.parts.values()}
         parts = tuple(entry.parts[task][1] for task in sorted(entry.parts))
-        code = _code(states)
+        code = _code_of(states)
         if entry.answer is None:
             return self._answer(now, entry, code, parts)
         if not entry.answer.parts:
-            # Parts that arrive after "unknown outcome" correct what later askers get.
+            # Results that arrive after "unknown outcome" replace the stored answer.
+            # Later submissions of the request get the new one.
             entry.answer = replace(
                 entry.answer, code=code, outcome=code.outcome, parts=parts
             )
-            self._keep(now, entry, entry.answer)
+            self._schedule_removal(now, entry, entry.answer)
         return None
 
     def _answer(
@@ -367,19 +387,21 @@
     ) -> Answer:
         answer = Answer(entry.request_id, code, code.outcome, parts, code.meaning)
         entry.answer = answer
-        self._keep(now, entry, answer)
+        self._schedule_removal(now, entry, answer)
         return answer
 
-    def _keep(self, now: float, entry: _Entry, answer: Answer | None) -> None:
+    def _schedule_removal(
+        self, now: float, entry: _Entry, answer: Answer | None
+    ) -> None:
         if entry.idempotent and entry.tasks:
             until = now + min(IDEMPOTENT_RETENTION_S, self._retention_s)
-            self._kept_briefly.append((until, entry.request_id, answer))
+            self._early_removals.append((until, entry.request_id, answer))
         else:
             until = now + self._retention_s + 2 * self._skew_s
-            self._kept.append((until, entry.request_id, answer))
+            self._removals.append((until, entry.request_id, answer))
 
 
-def _describe(entry: _Entry, work: Work, attempt: int | None) -> None:
+def _set_request(entry: _Entry, work: Work, attempt: int | None) -> None:
     entry.digest = _digest(work)
     entry.tasks = work.tasks
     entry.idempotent = work.idempotent
@@ -409,7 +431,7 @@
     return attempt > entry.attempt_number
 
 
-def _code(states: set[AttemptState]) -> Code:
+def _code_of(states: set[AttemptState]) -> Code:
     if AttemptState.FAILED in states:
         return Code.FAILED
     return Code.STOPPED if AttemptState.STOPPED in states else Code.OK
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -1,4 +1,4 @@
-"""Reconciliation of service replicas with the ticket in force."""
+"""Reconciliation of a shard's service replicas with the configuration in force."""
 
 import typing as t
 from collections import deque
@@ -10,17 +10,17 @@
 from .placement import ReplicaTask, choose
 from .preemption import Preemptor
 from .routing import shard_names, shard_of_vm
-from .services import CLOSE_AFTER_S, ReplicaPool, split
+from .services import CLOSE_AFTER_S, ReplicaPool, apportion
 from .state import CLAIMS_WAIT_S, ShardState, Start
 
 __all__ = ["Replicas"]
 
-# A drain whose effect is not reported is sent again after this time.
+# Time after which a drain is repeated if the end of the replica was not reported.
 DRAIN_AGAIN_S = 2.0
 
 
 class _Sizes(t.NamedTuple):
-    """Number of VMs by data centre, and by shard of the own data centre."""
+    """Number of VMs by data centre, and by shard of the local data centre."""
 
     centres: dict[str, int]
     shards: dict[str, int]
@@ -33,13 +33,13 @@
         self._state = state
         self._preemptor = preemptor
         self._making_room: dict[str, Job] = {}
-        self._holds = 0
+        self._last_hold = 0
         self._groups: t.Mapping[str, VmGroupSpec] = {}
         self._policy = Policy()
         self._sizes: dict[str, _Sizes] = {}
 
     def configure(self, config: Configuration) -> None:
-        """Take the services of a new configuration."""
+        """Update the replica pools from the services of a new configuration."""
         pools = self._state.pools
         for name, spec in config.services.items():
             if name in pools:
@@ -48,36 +48,39 @@
                 pools[name] = ReplicaPool(spec)
 
     def update_wanted(self) -> None:
-        """Compute the part of each service's replicas that this shard runs."""
+        """Set how many replicas of each service this shard is to run."""
         config, shard = self._state.config, self._state.shard
         if config.vm_groups != self._groups or config.policy != self._policy:
             self._groups, self._policy = config.vm_groups, config.policy
             self._sizes = _shard_sizes(config, shard.rpartition("/")[0])
         for name, pool in self._state.pools.items():
             spec = config.services.get(name)
-            pool.want(self._part(spec) if spec else 0)
+            pool.set_wanted(self._wanted(spec) if spec else 0)
 
-    def _part(self, spec: ServiceSpec) -> int:
-        """Return this shard's part: by data centre first, then by shard."""
+    def _wanted(self, spec: ServiceSpec) -> int:
+        """Return the number of replicas of a service that this shard is to run.
+
+        The replicas are apportioned by VMs, first to data centres and then to shards.
+        """
         sizes, shard = self._sizes.get(spec.group, _Sizes({}, {})), self._state.shard
         centre = shard.rpartition("/")[0]
-        of_centre = split(spec.replicas, sizes.centres).get(centre, 0)
-        return split(of_centre, sizes.shards).get(shard, 0)
+        in_centre = apportion(spec.replicas, sizes.centres).get(centre, 0)
+        return apportion(in_centre, sizes.shards).get(shard, 0)
 
     def vm_leaving(self, now: float, vm: Vm) -> None:
-        """Replace the replicas on a VM that leaves."""
+        """Retire the replicas on a VM that is leaving."""
         close_at = now if vm.says_leaving else now + CLOSE_AFTER_S
         for pool in self._state.pools.values():
             pool.retire(vm.name, close_at)
 
     def reconcile(self, now: float, all_unsettled: bool) -> None:
-        """Start missing replicas and drain those that are not wanted any more.
+        """Start missing replicas and drain those that are no longer wanted.
 
         Parameters
         ----------
         all_unsettled : bool
-            Whether to look also at services for which nothing has changed, but which
-            wait for room or for requests to end.
+            Whether to include services that have not changed but wait for free capacity
+            or for requests to end.
         """
         pools = self._state.pools
         due = [
@@ -107,7 +110,10 @@
                 del self._state.pools[name]
 
     def _settled(self, now: float) -> bool:
-        """Return whether the claims that follow a take-over have been answered."""
+        """Return whether the claims after a take-over are answered or timed out.
+
+        Until then, replicas that already run may not be known yet, so none is started.
+        """
         if now >= self._state.owned_since + CLAIMS_WAIT_S:
             return True
         vms = self._state.fleet.vms
@@ -115,7 +121,10 @@
         return all(vm.lost_at <= now for vm in unseen)
 
     def _start_held(self, now: float, pool: ReplicaPool, missing: int) -> int:
-        """Start replicas whose room has become free; return how many have room held."""
+        """Start replicas for which preemption has freed the capacity that they hold.
+
+        Return the number of replicas whose held capacity is not free yet.
+        """
         job = self._making_room.get(pool.spec.name)
         if job is None:
             return 0
@@ -130,16 +139,19 @@
         return len(job.held)
 
     def _make_room(self, now: float, pool: ReplicaPool) -> bool:
-        """Have batch work checkpointed for a replica that fits nowhere."""
+        """Checkpoint batch work to free capacity for a replica that fits nowhere.
+
+        Return False if this is not possible now.
+        """
         spec = pool.spec
         if now < pool.retry_at:
             return False
         job = self._making_room.setdefault(
             spec.name, Job(_work_of(spec), "", now, deque())
         )
-        self._holds += 1
+        self._last_hold += 1
         return self._preemptor.make_room(
-            now, job, self._holds, spec.need, checkpoint_only=True
+            now, job, self._last_hold, spec.need, checkpoint_only=True
         )
 
     def _start(self, now: float, pool: ReplicaPool) -> bool:
@@ -153,22 +165,22 @@
 
 
 def _shard_sizes(config: Configuration, centre: str) -> dict[str, _Sizes]:
-    """Return the sizes by VM group; ``""`` stands for all VMs."""
+    """Return the number of VMs for each VM group; ``""`` stands for all VMs."""
     shards = shard_names(centre, config.policy.shards_per_data_centre)
     found = {"": _Sizes({}, {})}
     for group in config.vm_groups.values():
         sizes = found.setdefault(group.name, _Sizes({}, {}))
         for vm in group.vms:
-            _count(sizes.centres, vm.data_centre)
-            _count(found[""].centres, vm.data_centre)
+            _increment(sizes.centres, vm.data_centre)
+            _increment(found[""].centres, vm.data_centre)
             if vm.data_centre == centre:
                 shard = shard_of_vm(vm.name, shards)
-                _count(sizes.shards, shard)
-                _count(found[""].shards, shard)
+                _increment(sizes.shards, shard)
+                _increment(found[""].shards, shard)
     return found
 
 
-def _count(counts: dict[str, int], key: str) -> None:
+def _increment(counts: dict[str, int], key: str) -> None:
     counts[key] = counts.get(key, 0) + 1
 
 
--- a/src/poplaryard/services.py
+++ b/src/poplaryard/services.py
@@ -1,4 +1,4 @@
-"""Service replicas: choice of an executor and comparison with the ticket."""
+"""Replicas of one service in a shard: choice of an executor, and reconciliation."""
 
 import random
 import typing as t
@@ -7,16 +7,18 @@
 from .configuration import ServiceSpec
 from .resources import Resources
 
-__all__ = ["Replica", "ReplicaPool", "split"]
+__all__ = ["Replica", "ReplicaPool", "apportion"]
 
-# An old and a new owner together must stay under the 64 connections of an executor.
+# Upper bound of the slots of a replica. During a take-over, the old and the new owner
+# may each fill them; together they must stay under the executor's 64 connections.
 MAX_SLOTS = 24
 
-# A leaving VM must get no new requests within 3 s; this leaves 1 s for the VM list.
+# Time after which the replicas on a VM listed as leaving take no new requests. The
+# limit is 3 s after the VM starts to leave; 1 s of it is for the delay of the VM list.
 CLOSE_AFTER_S = 2.0
 
-# A replica of an outdated size is stopped without a successor after this time, so that
-# a full cell cannot hold up a change for ever.
+# Time after which a replica of an outdated size is closed even without a successor, so
+# that a lack of free capacity cannot block a change for ever.
 ROLL_WAIT_S = 30.0
 
 NEVER = float("inf")
@@ -24,19 +26,27 @@
 
 @dataclass(slots=True, eq=False)
 class Replica:
-    """Executor of one service.
+    """Replica of a service: an executor that serves its requests.
 
     Attributes
     ----------
+    need : Resources
+        Size of the replica; it is outdated if the specification has another one.
+    in_flight : int
+        Number of requests that occupy a slot.
     ready : bool
         Whether the worker has confirmed the start.
+    retiring : bool
+        Whether it is to be replaced or removed.
+    closed : bool
+        Whether it gets no more requests because it is to be drained.
     suspended : bool
         Whether it gets no requests because its VM is ejected.
     close_at : float
-        Time at which it takes no more requests, whether or not it has a successor;
-        infinity if it is not being retired or waits for its successor.
+        Time at which a retiring replica is closed even if its successor is not ready;
+        infinity if there is no such limit.
     position : int
-        Place in the pool's list of open replicas; -1 if it is not open.
+        Index in the pool's list of open replicas; -1 if it is not open.
     """
 
     attempt_id: str
@@ -58,11 +68,15 @@
     Attributes
     ----------
     wanted : int
-        Replicas that this shard is to run.
+        Number of replicas that this shard is to run.
     changed : bool
-        Whether something happened since the last reconciliation.
+        Whether replicas or the specification changed since the last reconciliation.
     unsettled : bool
         Whether replicas wait to be started, closed or drained.
+    racks : dict
+        Number of replicas in each rack.
+    retry_at : float
+        Time before which no replica is started.
     """
 
     def __init__(self, spec: ServiceSpec):
@@ -78,7 +92,7 @@
 
     @property
     def slots(self) -> int:
-        """Requests that one replica serves at a time."""
+        """Number of requests that one replica serves at a time."""
         return min(self.spec.slots, MAX_SLOTS)
 
     def add(self, attempt_id: str, vm: str, rack: str, need: Resources) -> None:
@@ -90,7 +104,7 @@
         self.racks[rack] = self.racks.get(rack, 0) + 1
 
     def remove(self, attempt_id: str) -> None:
-        """Forget a replica that has ended."""
+        """Remove a replica that has ended."""
         replica = self.replicas.pop(attempt_id, None)
         if replica is None:
             return
@@ -101,10 +115,10 @@
         self._set_open(replica, False)
 
     def set_ready(self, attempt_id: str) -> None:
-        """Note that a replica serves requests."""
+        """Record that the start of a replica is confirmed, and open it to requests."""
         replica = self.replicas.get(attempt_id)
         if replica is not None:
-            # A retiring replica may have waited for this one.
+            # This may be the successor that a retiring replica waits for.
             self.changed |= self.unsettled
             replica.ready = True
             self._refresh(replica)
@@ -119,15 +133,18 @@
         return first if first.in_flight <= second.in_flight else second
 
     def take_slot(self, attempt_id: str) -> None:
-        """Occupy one slot."""
-        self._count(attempt_id, 1)
+        """Occupy one slot of a replica."""
+        self._add_in_flight(attempt_id, 1)
 
     def release_slot(self, attempt_id: str) -> None:
-        """Free one slot."""
-        self._count(attempt_id, -1)
+        """Free one slot of a replica."""
+        self._add_in_flight(attempt_id, -1)
 
-    def _count(self, attempt_id: str, step: int) -> None:
-        """Count requests by executor, also before it is reported after a take-over."""
+    def _add_in_flight(self, attempt_id: str, step: int) -> None:
+        """Add `step` to the requests in flight of an executor.
+
+        After a take-over, requests may be counted before their executor is reported.
+        """
         count = self._in_flight.get(attempt_id, 0) + step
         if count:
             self._in_flight[attempt_id] = count
@@ -156,14 +173,14 @@
         replica.position = -1
 
     def configure(self, spec: ServiceSpec) -> None:
-        """Take a new specification."""
+        """Set a new specification of the service."""
         self.spec = spec
         self.changed = True
         for replica in self.replicas.values():
             self._refresh(replica)
 
     def retire(self, vm: str, close_at: float) -> None:
-        """Replace the replicas on a VM; they close at `close_at` at the latest."""
+        """Retire the replicas on a VM; they close at `close_at` at the latest."""
         for replica in self.replicas.values():
             if replica.vm == vm:
                 self.changed = True
@@ -177,28 +194,28 @@
                 replica.suspended = suspended
                 self._refresh(replica)
 
-    def want(self, count: int) -> None:
+    def set_wanted(self, count: int) -> None:
         """Set the number of replicas that this shard is to run."""
         self.changed |= count != self.wanted
         self.wanted = count
 
     def missing(self) -> int:
         """Return how many replicas are to be started."""
-        return max(0, self.wanted - len(self._keepers()))
+        return max(0, self.wanted - len(self._not_retiring()))
 
     def reconcile(self, now: float) -> list[Replica]:
-        """Retire surplus and outdated replicas; return those that are to be drained.
+        """Retire surplus and outdated replicas, and return the replicas to be drained.
 
-        A retiring replica takes requests until its successor is ready, and is drained
-        once it has no request in flight.
+        A retiring replica takes requests until its successor is ready. It is drained
+        once it is closed and has no request in flight.
         """
         self.changed = False
-        keepers = self._keepers()
-        for replica in sorted(keepers, key=self._surplus_order)[self.wanted :]:
+        kept = self._not_retiring()
+        for replica in sorted(kept, key=self._keep_order)[self.wanted :]:
             replica.retiring = True
             replica.close_at = now
-        self._roll(now)
-        ready = sum(replica.ready for replica in self._keepers())
+        self._retire_outdated(now)
+        ready = sum(replica.ready for replica in self._not_retiring())
         for replica in self.replicas.values():
             if replica.retiring and not replica.closed:
                 replica.closed = ready >= self.wanted or now >= replica.close_at
@@ -206,16 +223,20 @@
         self.unsettled = any(r.retiring for r in self.replicas.values())
         return [r for r in self.replicas.values() if r.closed and not r.in_flight]
 
-    def _keepers(self) -> list[Replica]:
+    def _not_retiring(self) -> list[Replica]:
         return [r for r in self.replicas.values() if not r.retiring]
 
-    def _surplus_order(self, replica: Replica) -> tuple[bool, int, int, str]:
-        """Order in which replicas are kept: ready, in thin racks, busy."""
+    def _keep_order(self, replica: Replica) -> tuple[bool, int, int, str]:
+        """Return the sort key by which replicas are kept, first to last.
+
+        Ready replicas come first, then those in racks with few replicas, then busy
+        ones.
+        """
         rack = self.racks[replica.rack]
         return not replica.ready, rack, -replica.in_flight, replica.attempt_id
 
-    def _roll(self, now: float) -> None:
-        """Retire one replica of an outdated size if all others are settled."""
+    def _retire_outdated(self, now: float) -> None:
+        """Retire one replica of an outdated size if none is starting or retiring."""
         if any(r.retiring or not r.ready for r in self.replicas.values()):
             return
         for replica in self.replicas.values():
@@ -225,15 +246,23 @@
                 return
 
 
-def split(total: int, weights: t.Mapping[str, int]) -> dict[str, int]:
-    """Split a count by weight with the largest-remainder rule; ties go by name."""
-    whole = sum(weights.values())
-    if not whole:
+def apportion(total: int, weights: t.Mapping[str, int]) -> dict[str, int]:
+    """Apportion a count by weight with the largest-remainder method; ties go by name.
+
+    Parameters
+    ----------
+    total : int
+        Count to distribute; the result sums to it unless all weights are 0.
+    weights : mapping
+        Weight of each recipient by name.
+    """
+    weight_sum = sum(weights.values())
+    if not weight_sum:
         return dict.fromkeys(weights, 0)
-    shares = {name: total * weight // whole for name, weight in weights.items()}
+    shares = {name: total * weight // weight_sum for name, weight in weights.items()}
     rest = total - sum(shares.values())
     by_remainder = sorted(
-        weights, key=lambda name: (-(total * weights[name] % whole), name)
+        weights, key=lambda name: (-(total * weights[name] % weight_sum), name)
     )
     for name in by_remainder[:rest]:
         shares[name] += 1
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -15,16 +15,16 @@
 from poplaryard.replicas import Replicas
 from poplaryard.resources import Resources
 from poplaryard.routing import shard_names
-from poplaryard.services import split
+from poplaryard.services import apportion
 from poplaryard.state import ShardState
 from tests.builders import configuration, vm_spec, work
 from tests.shard import Shard, batch
 
 
 def test_split_gives_every_replica_to_exactly_one_shard():
-    assert split(10, {"a": 1, "b": 1, "c": 1}) == {"a": 4, "b": 3, "c": 3}
-    assert split(0, {"a": 1}) == {"a": 0}
-    assert split(3, {}) == {}
+    assert apportion(10, {"a": 1, "b": 1, "c": 1}) == {"a": 4, "b": 3, "c": 3}
+    assert apportion(0, {"a": 1}) == {"a": 0}
+    assert apportion(3, {}) == {}
 
 
 def test_shards_and_data_centres_run_the_replicas_of_the_ticket_together():
