--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -79,11 +79,11 @@
 
     def submit(self, now: float, job: Job) -> None:
         """Queue a new job, or refuse it."""
-        detail = self.reasons.never(job, self.gangs)
+        detail = self.reasons.unplaceable(job, self.gangs)
         if detail:
             self._results.refuse(now, job, Code.UNPLACEABLE, detail)
             return
-        detail = self.reasons.beyond_quota(job)
+        detail = self.reasons.exceeds_team_limit(job)
         if detail:
             self._results.refuse(now, job, Code.QUOTA_EXCEEDED, detail)
             return
@@ -290,7 +290,7 @@
             self._parking.wait_for_key(job)
             return True
         if not work.idempotent and not job.fresh:
-            job.fresh = self._state.may_run_unknown(work.issued_at)
+            job.fresh = self._state.may_run_unreported(work.issued_at)
             if not job.fresh:
                 self._results.give_up(now, job, Code.UNKNOWN_OUTCOME)
                 return True
@@ -320,7 +320,7 @@
             return False
         charge = self._starter.charge(job)
         if not self._state.quotas.allowed(job.work.team, charge):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if not self._queues.may_start(now, entry):
             job.reason = self.reasons.kept_for_short(job)
@@ -351,7 +351,7 @@
         charge = self._starter.charge(job)
         whole = charge.times(len(job.pending))
         if not self._state.quotas.allowed(job.work.team, whole):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if self.gangs.hold_all(job, charge):
             self._starter.start_all_held(now, job)
