--- a/src/poplaryard/exceptions.py
+++ b/src/poplaryard/exceptions.py
@@ -74,8 +74,8 @@
     ----------
     refused : bool
         Whether nothing accepted the connection.
-    other_life : bool
-        Whether another life of the worker, or another worker, answered.
+    other_instance : bool
+        Whether another instance of the worker, or another worker, answered.
     fenced : bool
         Whether the worker has seen a higher fencing token.
     """
@@ -85,10 +85,10 @@
         detail: str,
         *,
         refused: bool = False,
-        other_life: bool = False,
+        other_instance: bool = False,
         fenced: bool = False,
     ):
         super().__init__(Code.PEER_UNREACHABLE, detail)
         self.refused = refused
-        self.other_life = other_life
+        self.other_instance = other_instance
         self.fenced = fenced
--- a/src/poplaryard/platform/services.py
+++ b/src/poplaryard/platform/services.py
@@ -122,7 +122,7 @@
         if reply.status != 200:
             raise WorkerUnreachable(
                 f"status {reply.status}",
-                other_life=reply.status == 421,
+                other_instance=reply.status == 421,
                 fenced=reply.status == 409,
             )
         try:
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -307,7 +307,7 @@
                     worker,
                     self._clock.now(),
                     refused=exc.refused,
-                    other_life=exc.other_life,
+                    other_instance=exc.other_instance,
                     fenced=exc.fenced,
                 )
                 self._wake.set()
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -137,7 +137,7 @@
         now: float,
         *,
         refused: bool = False,
-        other_life: bool = False,
+        other_instance: bool = False,
         fenced: bool = False,
     ) -> None:
         """Take a failed renewal of a worker's leases."""
@@ -150,8 +150,10 @@
             )
         worker.reachable = False
         worker.refused = refused
-        if other_life or (refused and worker.info.draining and not worker.listed):
-            self._lost(worker, "another life answered" if other_life else "left", now)
+        if other_instance or (refused and worker.info.draining and not worker.listed):
+            self._lost(
+                worker, "another life answered" if other_instance else "left", now
+            )
 
     def hold_answered(
         self, worker: Worker, report: HoldReport, sent_at: float, now: float
