--- a/src/poplaryard/fuzz.py
+++ b/src/poplaryard/fuzz.py
@@ -19,7 +19,7 @@
 )
 from .ownership_messages import WriteRecord
 from .resources import Resources
-from .routing import key_of
+from .routing import routing_key
 
 __all__ = ["Failure", "Fuzzer", "main", "run"]
 
@@ -181,7 +181,7 @@
             self._works.append((work, 1, ""))
         token = self.world.submit(work, entry, attempt)
         self._works[index] = work, attempt, token
-        return f"{token} {work.request_id} key={key_of(work)!r}"
+        return f"{token} {work.request_id} key={routing_key(work)!r}"
 
     def _work(self) -> Work:
         rng, world = self.rng, self.world
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -21,7 +21,7 @@
 from .outcome import Ledger, Registered
 from .ownership_messages import Heartbeat, HeartbeatReply, ProvenDead
 from .resources import Resources
-from .routing import home_shard, key_of, shard_names, shard_of_vm
+from .routing import home_shard, routing_key, shard_names, shard_of_vm
 from .takeover import Takeover
 
 __all__ = ["MECHANISMS", "World"]
@@ -148,7 +148,7 @@
 
     def shard_for(self, work: Work, node: Node) -> str:
         """Return the shard that an entry process chooses for work."""
-        key = key_of(work)
+        key = routing_key(work)
         if key:
             return home_shard(key, self.all_shards())
         return home_shard(work.request_id, self.shards(node.dc))
--- a/src/poplaryard/routing.py
+++ b/src/poplaryard/routing.py
@@ -13,7 +13,7 @@
     "ShardSummary",
     "choose_shard",
     "home_shard",
-    "key_of",
+    "routing_key",
     "may_retry",
     "ranked",
     "shard_names",
@@ -66,7 +66,7 @@
     return home_shard(vm, shards)
 
 
-def key_of(work: Work) -> str:
+def routing_key(work: Work) -> str:
     """Return the key that ties work to a home shard; empty if any shard may run it."""
     if work.exclusive_key:
         return work.exclusive_key
--- a/src/poplaryard/shard_map.py
+++ b/src/poplaryard/shard_map.py
@@ -54,7 +54,7 @@
         VM that fits, so that a caller that asks again at another entry process reaches
         the owner that knows the request.
         """
-        key = routing.key_of(work)
+        key = routing.routing_key(work)
         if key:
             return self.home(key)
         able: t.Sequence[str] = self._able_shards(work) or self.local()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -8,9 +8,9 @@
     ShardSummary,
     choose_shard,
     home_shard,
-    key_of,
     may_retry,
     ranked,
+    routing_key,
 )
 from tests.builders import work
 
@@ -33,9 +33,9 @@
 
     def test_key_is_needed_for_exclusive_and_non_idempotent_work(self):
         """Guards against an id that runs in two shards."""
-        self.assertEqual("", key_of(work()))
-        self.assertEqual("r1", key_of(work(idempotent=False)))
-        self.assertEqual("k", key_of(work(exclusive_key="k")))
+        self.assertEqual("", routing_key(work()))
+        self.assertEqual("r1", routing_key(work(idempotent=False)))
+        self.assertEqual("k", routing_key(work(exclusive_key="k")))
 
     def test_choice_skips_full_and_unreachable_shards(self):
         """Guards against sending work to a shard that cannot hold it."""
