--- a/src/poplaryard/serve.py
+++ b/src/poplaryard/serve.py
@@ -12,7 +12,7 @@
 from .app import Application
 from .settings import settings_or_exit
 
-__all__ = ["Stop", "serve"]
+__all__ = ["StopSignal", "serve"]
 
 EXIT_FORCED = 1
 # Allocations between two runs of the collector. The default of 700 walks the ledgers
@@ -20,7 +20,7 @@
 COLLECT_AFTER = 50_000
 
 
-class Stop:
+class StopSignal:
     """Waits for SIGTERM or SIGINT; a second one ends the process at once.
 
     Parameters
@@ -67,5 +67,5 @@
     await app.start()
     _tune_collector()
     click.echo(f"listening on {app.address}")
-    await Stop(app.left_over).wait()
+    await StopSignal(app.left_over).wait()
     await app.stop()
--- a/src/poplaryard/standin.py
+++ b/src/poplaryard/standin.py
@@ -6,7 +6,7 @@
 import click
 
 from .resources import Resources
-from .serve import Stop
+from .serve import StopSignal
 from .standin_platform_http import PlatformHost
 from .standin_worker import WorkerVm
 from .standin_worker_http import WorkerHost
@@ -46,7 +46,7 @@
 async def _run_platform(port: int) -> None:
     host = PlatformHost()
     click.echo(f"listening on {await host.start(port=port)}")
-    await Stop(lambda: "nothing").wait()
+    await StopSignal(lambda: "nothing").wait()
     await host.stop()
 
 
@@ -54,5 +54,5 @@
     host = WorkerHost(vms)
     for name, address in (await host.start(port=port)).items():
         click.echo(f"{name} {address}")
-    await Stop(lambda: "nothing").wait()
+    await StopSignal(lambda: "nothing").wait()
     await host.stop()
