--- a/src/poplaryard/api.py
+++ b/src/poplaryard/api.py
@@ -97,18 +97,18 @@
     depth_limit: int
 
     def caller_allowed(self, request: Request) -> bool:
-        """Tell whether a request carries a caller's key."""
+        """Return whether a request carries a caller's key."""
 
     def refusal(self) -> Code | None:
         """Return why no requests are taken at the moment, or None."""
 
     def defaults(self, work: Work, timeout_s: float | None) -> tuple[Work, float]:
-        """Return work with the defaults of its class, and its time-out in seconds."""
+        """Return work with the defaults of its class, and its timeout in seconds."""
 
     def submit(self, work: Work, digest: str) -> "asyncio.Future[Answer] | Answer":
         """Take a request; return its answer or a future of it."""
 
-    def answered(self, answer: Answer, seconds: float) -> None:
+    def record_answer(self, answer: Answer, seconds: float) -> None:
         """Count an answer given after `seconds`."""
 
     async def find(self, request_id: str) -> "asyncio.Future[Answer] | Answer | None":
@@ -220,7 +220,7 @@
         if not isinstance(found, Answer):
             # Shielded: the request goes on when its caller disconnects.
             found = await asyncio.shield(found)
-        self._context.answered(found, _clock.now() - received)
+        self._context.record_answer(found, _clock.now() - received)
         return answer_response(found)
 
     def _work(self, found: _Common) -> Work:
@@ -308,7 +308,7 @@
 
 
 def bearer_allowed(request: Request, keys: t.Iterable[str]) -> bool:
-    """Tell whether a request carries one of the keys, in time that tells nothing.
+    """Return whether a request carries one of the keys, in time that tells nothing.
 
     Every key is compared, so that the time does not depend on which one matches.
     """
--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -108,13 +108,13 @@
     async def stop(self) -> None:
         """Hand over, finish the requests in progress, and close everything."""
         self.state = "stopping"
-        logger.info("stopping", extra={"left": self.left_over()})
+        logger.info("stopping", extra={"left": self.unfinished_work()})
         for hook in reversed(self._stops):
             await hook()
         self.state = "stopped"
         logger.info("stopped")
 
-    def left_over(self) -> str:
+    def unfinished_work(self) -> str:
         """Return what would be lost if the process ended now."""
         open_requests = self.dispatcher.entry.open_requests
         shards = len(self.dispatcher.shards)
@@ -127,7 +127,7 @@
         return None if self.config_task.rollout.ready else Code.NOT_READY
 
     def ready(self) -> bool:
-        """Tell whether the load balancer may send requests."""
+        """Return whether the load balancer may send requests."""
         return self.state == "running" and self.config_task.rollout.ready
 
     def ticket(self) -> int:
@@ -239,9 +239,9 @@
         await asyncio.sleep(NOT_READY_S)
         self.state = "draining"
         await self.ownership_task.leave(LEAVE_S)
-        await self.dispatcher.entry.drained(until - self.clock.now())
+        await self.dispatcher.entry.wait_until_answered(until - self.clock.now())
         # Shards that could not be handed over still serve requests of other entries.
-        await self.dispatcher.finished(until - self.clock.now())
+        await self.dispatcher.wait_until_idle(until - self.clock.now())
         await self.peers.drain(max(0.0, until - self.clock.now()))
         await self._server.stop()
 
--- a/src/poplaryard/codes.py
+++ b/src/poplaryard/codes.py
@@ -17,8 +17,18 @@
 class Code(enum.IntEnum):
     """Result code with its HTTP status, outcome and meaning.
 
-    Numbers are grouped: 1xxx success and input, 2xxx not run, 3xxx unknown or failed
-    runs, 4xxx tickets, 5xxx settings, 6xxx peers and ownership, 7xxx workers.
+    Numbers are grouped: 1xxx success and input errors, 2xxx not run, 3xxx unknown or
+    failed runs, 4xxx tickets (configuration changes), 5xxx settings, 6xxx peers and
+    shard ownership, 7xxx workers.
+
+    Attributes
+    ----------
+    status : int
+        HTTP status.
+    outcome : Outcome
+        What the code says about whether the request ran.
+    meaning : str
+        Message for callers that get no more specific one.
     """
 
     status: int
--- a/src/poplaryard/context.py
+++ b/src/poplaryard/context.py
@@ -1,4 +1,4 @@
-"""What the routes for callers need from the application."""
+"""Caller requests: submission, lookup, cancellation and explanation."""
 
 import asyncio
 import dataclasses
@@ -18,14 +18,14 @@
 
 
 class CallerContext:
-    """Implements `poplaryard.api.ApiContext`.
+    """Implementation of `poplaryard.api.ApiContext` in an entry process.
 
     Parameters
     ----------
     refusal : callable
-        Returns why no requests are taken at the moment, or None.
-    answered : callable
-        Takes the code and the time in seconds of each answer.
+        Returns the code with which all requests are refused at the moment, or None.
+    record_answer : callable
+        Called with the code of each answer and the time that it took in seconds.
     """
 
     def __init__(
@@ -34,23 +34,23 @@
         dispatcher: Dispatcher,
         finder: Finder,
         refusal: t.Callable[[], Code | None],
-        answered: t.Callable[[int, float], None],
+        record_answer: t.Callable[[int, float], None],
     ):
         self.body_limit = settings.limits.body_kb * 1024
         self.depth_limit = settings.limits.json_depth
         self.default_timeout_s = settings.limits.default_timeout_s
         self.refusal = refusal
-        self._answered = answered
+        self._record_answer = record_answer
         self._keys = tuple(settings.keys.callers.values())
         self._dispatcher = dispatcher
         self._finder = finder
 
     def caller_allowed(self, request: Request) -> bool:
-        """Tell whether a request carries a caller's key."""
+        """Return whether a request carries a caller's key."""
         return bearer_allowed(request, self._keys)
 
     def defaults(self, work: Work, timeout_s: float | None) -> tuple[Work, float]:
-        """Return work with the defaults of its class, and its time-out in seconds."""
+        """Return work with its job class defaults, and its timeout in seconds."""
         spec = self._dispatcher.map.config.work_kinds.get(work.job_class)
         if spec is None:
             return work, timeout_s or self.default_timeout_s
@@ -62,12 +62,12 @@
         return work, timeout_s or spec.timeout_s
 
     def submit(self, work: Work, digest: str) -> "asyncio.Future[Answer] | Answer":
-        """Take a request; return its answer or a future of it."""
+        """Submit a request; return its answer or a future of it."""
         return self._dispatcher.entry.submit(work, digest)
 
-    def answered(self, answer: Answer, seconds: float) -> None:
-        """Count an answer given after `seconds`."""
-        self._answered(int(answer.code), seconds)
+    def record_answer(self, answer: Answer, seconds: float) -> None:
+        """Record an answer that took `seconds`."""
+        self._record_answer(int(answer.code), seconds)
         logger.debug(
             "answered", extra={"request": answer.request_id, "code": int(answer.code)}
         )
@@ -75,10 +75,10 @@
     async def find(self, request_id: str) -> "asyncio.Future[Answer] | Answer | None":
         """Return a request's answer or a future of it; None if it is not known."""
         entry = self._dispatcher.entry
-        found = entry.answer_of(request_id) or entry.wait_for(request_id)
+        found = entry.answer_of(request_id) or entry.answer_future(request_id)
         if found is not None:
             return found
-        watched = entry.watch(request_id)
+        watched = entry.watch_answer(request_id)
         known = await self._finder.explain(request_id, watch=True)
         return watched if known is not None else None
 
@@ -92,7 +92,7 @@
         return known
 
     async def explain(self, request_id: str) -> str:
-        """Return one sentence that says where a request stands."""
+        """Return one sentence that describes the state of a request."""
         known = await self._finder.explain(request_id)
         if known is not None:
             return known
--- a/src/poplaryard/dispatch.py
+++ b/src/poplaryard/dispatch.py
@@ -37,7 +37,7 @@
     notice : callable
         Takes what the shards report besides answers: audit events, refused epochs.
     holds_lease : callable
-        Tells whether this process holds its store lease.
+        Returns whether this process holds its store lease.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         if task is not None:
             await task.stop()
 
-    async def finished(self, timeout_s: float) -> None:
+    async def wait_until_idle(self, timeout_s: float) -> None:
         """Wait until the shards here have answered every request they have taken."""
         waits = [
             asyncio.ensure_future(task.idle.wait()) for task in self.shards.values()
@@ -180,7 +180,7 @@
 
     def _look_up_entry(self, request_id: str, reply_to: str) -> str | None:
         """Answer for a request that a caller has open here, if it has no owner yet."""
-        fut = self.entry.wait_for(request_id)
+        fut = self.entry.answer_future(request_id)
         if fut is None or reply_to == self.process:
             return None
         if reply_to:
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -94,19 +94,19 @@
         self._answers: OrderedDict[str, tuple[str, Answer]] = OrderedDict()
         self._watched: OrderedDict[str, asyncio.Future[Answer]] = OrderedDict()
         self._budget = RetryBudget(floor_per_s=20.0, burst=100.0)
-        self._timer: asyncio.Task[None] | None = None
+        self._check_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Start the task that watches deadlines and sends again."""
-        self._timer = asyncio.create_task(self._watch())
+        self._check_task = asyncio.create_task(self._run_checks())
 
     async def stop(self) -> None:
         """End the task."""
-        if self._timer is not None:
-            self._timer.cancel()
-            await asyncio.gather(self._timer, return_exceptions=True)
+        if self._check_task is not None:
+            self._check_task.cancel()
+            await asyncio.gather(self._check_task, return_exceptions=True)
 
-    async def drained(self, timeout_s: float) -> bool:
+    async def wait_until_answered(self, timeout_s: float) -> bool:
         """Wait until all open requests are answered; False if that took too long."""
         futures = [pending.fut for pending in self._open.values()]
         if futures:
@@ -118,7 +118,7 @@
         """Number of requests without an answer."""
         return len(self._open)
 
-    def watch(self, request_id: str) -> "asyncio.Future[Answer]":
+    def watch_answer(self, request_id: str) -> "asyncio.Future[Answer]":
         """Return a future of the answer to a request handed in elsewhere."""
         fut = self._watched.get(request_id)
         if fut is None:
@@ -134,7 +134,7 @@
         return found[1] if found else None
 
     def is_open(self, request_id: str) -> bool:
-        """Tell whether a request waits here for its answer."""
+        """Return whether a request waits here for its answer."""
         return request_id in self._open
 
     def work_of(self, request_id: str) -> tuple[Work, str, str] | None:
@@ -164,7 +164,7 @@
         self._send(pending, now)
         return pending.fut
 
-    def wait_for(self, request_id: str) -> "asyncio.Future[Answer] | None":
+    def answer_future(self, request_id: str) -> "asyncio.Future[Answer] | None":
         """Return the future of an open request."""
         pending = self._open.get(request_id)
         return pending.fut if pending else None
@@ -281,7 +281,7 @@
         if not pending.fut.done():
             pending.fut.set_result(answer)
 
-    async def _watch(self) -> None:
+    async def _run_checks(self) -> None:
         while True:
             await asyncio.sleep(CHECK_PERIOD_S)
             now = _clock.now()
--- a/src/poplaryard/exceptions.py
+++ b/src/poplaryard/exceptions.py
@@ -1,4 +1,4 @@
-"""All exceptions of the package."""
+"""Exceptions of the package; each carries a numbered result code."""
 
 from .codes import Code
 
@@ -22,7 +22,7 @@
     code : Code
         Result code.
     detail : str
-        One plain sentence for the reader.
+        Message for the user; the meaning of the code if empty.
     """
 
     def __init__(self, code: Code, detail: str = ""):
@@ -40,7 +40,7 @@
 
 
 class StoreDown(PoplaryardError):
-    """The store did not take the call; nothing was written."""
+    """The store did not accept the call; nothing was written."""
 
     def __init__(self, detail: str = "The store cannot be reached."):
         super().__init__(Code.TICKET_NOT_ACCEPTED, detail)
@@ -54,26 +54,26 @@
 
 
 class StoreConflict(PoplaryardError):
-    """The compare-and-swap found another version."""
+    """A compare-and-swap failed because the value has another version."""
 
     def __init__(self, detail: str = "The value has changed."):
         super().__init__(Code.TICKET_CONFLICT, detail)
 
 
 class LeaseLost(PoplaryardError):
-    """The store lease that a write is bound to has ended; nothing was written."""
+    """The store lease that a write is attached to has ended; nothing was written."""
 
     def __init__(self, detail: str = "The lease has ended."):
         super().__init__(Code.TICKET_NOT_ACCEPTED, detail)
 
 
 class WorkerUnreachable(PoplaryardError):
-    """A worker did not answer, or not as the life that was asked for.
+    """A worker did not answer, or another instance of it did.
 
     Parameters
     ----------
     refused : bool
-        Whether nothing accepted the connection.
+        Whether the connection was refused.
     other_instance : bool
         Whether another instance of the worker, or another worker, answered.
     fenced : bool
--- a/src/poplaryard/peers.py
+++ b/src/poplaryard/peers.py
@@ -265,7 +265,7 @@
             self.receive(process, _decode(item, now))
 
     def is_me(self, process: str) -> bool:
-        """Tell whether a batch is for this process and not for one before it."""
+        """Return whether a batch is for this process and not for one before it."""
         return process in (self._process, self._address)
 
 
@@ -282,7 +282,7 @@
     Parameters
     ----------
     allowed : callable
-        Tells whether a request carries the peer key.
+        Returns whether a request carries the peer key.
     """
 
     async def batch(request: Request) -> Response:
--- a/src/poplaryard/routing.py
+++ b/src/poplaryard/routing.py
@@ -1,4 +1,4 @@
-"""Home shard of a key, choice of a shard for other work, and retries at the entry."""
+"""Choice of a shard for work, by key or by load, and which attempts are retried."""
 
 import hashlib
 import random
@@ -28,9 +28,9 @@
     Attributes
     ----------
     largest : Resources
-        Free capacity of the VM with the most room.
+        Free capacity of the VM with the most free capacity.
     queued : int
-        Items that wait in the shard.
+        Number of requests and tasks queued in the shard.
     reachable : bool
         Whether the owner answers.
     """
@@ -47,7 +47,7 @@
 
 
 def ranked(key: str, names: t.Iterable[str]) -> list[str]:
-    """Return `names` in rendezvous order for `key`, the first choice first."""
+    """Return `names` by descending rendezvous hash weight for `key`."""
     return sorted(names, key=lambda name: (_weight(key, name), name), reverse=True)
 
 
@@ -57,17 +57,17 @@
 
 
 def home_shard(key: str, shards: t.Iterable[str]) -> str:
-    """Return the one shard of the cell that runs work on `key`."""
+    """Return the shard that runs all work with `key`, by rendezvous hashing."""
     return max(shards, key=lambda name: (_weight(key, name), name))
 
 
 def shard_of_vm(vm: str, shards: t.Iterable[str]) -> str:
-    """Return the shard of its data centre that a VM belongs to."""
+    """Return the one of its data centre's shards that a VM belongs to."""
     return home_shard(vm, shards)
 
 
 def routing_key(work: Work) -> str:
-    """Return the key that ties work to a home shard; empty if any shard may run it."""
+    """Return the key that selects the home shard; empty if any shard may run `work`."""
     if work.exclusive_key:
         return work.exclusive_key
     return "" if work.idempotent else work.request_id
@@ -76,10 +76,10 @@
 def choose_shard(
     work: Work, summaries: t.Sequence[ShardSummary], rng: random.Random
 ) -> str | None:
-    """Return the better of two random shards that can hold `work`, or None.
+    """Return the less loaded of two random shards that can hold `work`, or None.
 
-    Two choices, not the best of all: summaries lag, and all entries would send to the
-    same shard until the next report.
+    Two are compared rather than all because summaries lag: with the best of all, every
+    entry process would send to the same shard until the next report.
     """
     reachable = [item for item in summaries if item.reachable]
     fitting = [item for item in reachable if work.need.fits_in(item.largest)]
@@ -94,7 +94,7 @@
     return summary.queued / max(1, summary.free.cpu_m), -summary.free.cpu_m
 
 
-# Codes after which another attempt cannot succeed or is not wanted.
+# Codes after which another attempt cannot succeed or is unwanted.
 _FINAL = frozenset(
     {
         Code.CANCELLED,
@@ -110,7 +110,7 @@
 
 
 def may_retry(work: Work, code: Code, now: float) -> bool:
-    """Tell whether the entry may send `work` again after an attempt that ended so."""
+    """Return whether an entry may resend `work` after an attempt ended with `code`."""
     if now >= work.deadline or code in _FINAL or code == Code.OK:
         return False
     if code.outcome is Outcome.NOT_RUN:
--- a/src/poplaryard/serve.py
+++ b/src/poplaryard/serve.py
@@ -25,12 +25,12 @@
 
     Parameters
     ----------
-    left_over : callable
+    unfinished_work : callable
         Returns what is lost if the process ends now.
     """
 
-    def __init__(self, left_over: t.Callable[[], str]):
-        self._left_over = left_over
+    def __init__(self, unfinished_work: t.Callable[[], str]):
+        self._unfinished_work = unfinished_work
         self._asked = asyncio.Event()
 
     async def wait(self) -> None:
@@ -44,7 +44,7 @@
         if not self._asked.is_set():
             self._asked.set()
             return
-        click.echo(f"stopped at once, left: {self._left_over()}", err=True)
+        click.echo(f"stopped at once, left: {self._unfinished_work()}", err=True)
         sys.stderr.flush()
         os._exit(EXIT_FORCED)
 
@@ -67,5 +67,5 @@
     await app.start()
     _tune_collector()
     click.echo(f"listening on {app.address}")
-    await StopSignal(app.left_over).wait()
+    await StopSignal(app.unfinished_work).wait()
     await app.stop()
--- a/src/poplaryard/settings.py
+++ b/src/poplaryard/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process: JSON with comments, validated."""
+"""Settings of an entry process, read from JSON with comments and validated."""
 
 import pathlib
 import sys
@@ -49,7 +49,15 @@
 
 
 class Keys(_Model):
-    """Keys by name of their holder."""
+    """API keys by the name of their holder.
+
+    Attributes
+    ----------
+    callers, operators : dict
+        Keys of those who submit work, and of those who file tickets.
+    peer : str
+        Key that all entry processes of the cell share.
+    """
 
     callers: dict[Name, Key] = Field(min_length=1)
     operators: dict[Name, Key] = Field(min_length=1)
@@ -57,16 +65,22 @@
 
 
 class Limits(_Model):
-    """Bounds of the HTTP interfaces.
+    """Limits of the HTTP interfaces.
 
     Attributes
     ----------
     body_kb : int
         Largest request body in KB.
+    json_depth : int
+        Deepest nesting of a request body.
     requests_in_flight : int
-        Most caller requests open at once.
+        Maximum number of caller requests without an answer.
     peer_in_flight : int
-        Most messages in flight to one peer.
+        Maximum number of messages in flight to one peer.
+    default_timeout_s : float
+        Timeout of requests that give none and whose class has none, in seconds.
+    shutdown_s : float
+        Time limit of a graceful stop, in seconds.
     """
 
     body_kb: int = Field(default=256, ge=1, le=1024)
@@ -85,13 +99,13 @@
     process : str
         Name of the process, unique in the cell.
     listen : str
-        Address to listen on; port 0 takes a free one.
+        Address to listen on; port 0 selects a free one.
     advertise : str
-        Address given to peers; that of `listen` if empty.
+        Address given to peers; the address of `listen` if empty.
     platform : str
         Address of the platform's store.
     peers : dict
-        Data centre to addresses of some of its entry processes.
+        Data centre to the addresses of some of its entry processes.
     """
 
     process: Name
@@ -107,7 +121,7 @@
 
 
 def load_settings(path: str | pathlib.Path) -> Result[Settings, ConfigError]:
-    """Return the settings in a file, or what is wrong with it.
+    """Return the settings in a file, or an error that lists every invalid key.
 
     The error's code is `SETTINGS_UNREADABLE` or `SETTINGS_INVALID`; its detail names
     the file, the path of each wrong key and what was expected.
@@ -170,7 +184,7 @@
 
 
 def settings_or_exit(path: str) -> Settings:
-    """Return the settings in a file, or print what is wrong and exit with status 2."""
+    """Return the settings in a file, or print the errors and exit with status 2."""
     loaded = load_settings(path)
     if is_successful(loaded):
         return loaded.unwrap()
--- a/src/poplaryard/upkeep.py
+++ b/src/poplaryard/upkeep.py
@@ -20,7 +20,7 @@
     Parameters
     ----------
     compacts : callable
-        Tells whether this process is the one that writes snapshots.
+        Returns whether this process is the one that writes snapshots.
     """
 
     def __init__(
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -40,7 +40,7 @@
         code = self.code
         return Answer(work.request_id, code, code.outcome, ({"echo": 1},), "", 2.0)
 
-    def answered(self, answer, seconds):
+    def record_answer(self, answer, seconds):
         pass
 
     async def find(self, request_id):
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -136,7 +136,7 @@
 
         def steps(request):
             again = self.entry.submit(request, "d")
-            self.assertIs(self.entry.wait_for("r1"), again)
+            self.assertIs(self.entry.answer_future("r1"), again)
             other = self.entry.submit(request, "other body")
             self.assertEqual(Code.DUPLICATE_MISMATCH, other.code)
 
