--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -12,7 +12,7 @@
 from .acceptance import Acceptance
 from .api import api_routes, bearer_allowed
 from .audit import AuditLog, AuditWriter
-from .centres import Centres
+from .centres import RemoteOwners
 from .client import HttpClient
 from .clock import Clock, SystemClock
 from .codes import Code
@@ -163,17 +163,17 @@
             HttpWorkers(worker_client),
             self.exchange.owner_of,
             self.exchange.send,
-            self.exchange.shard_notice,
+            self.exchange.on_shard_notice,
             limits.requests_in_flight,
             lambda: self.ownership_task.ownership.state == "held",
         )
         self.finder = Finder(
             self.process,
             self.peers,
-            self.exchange.may_know,
+            self.exchange.lookup_candidates,
             self.dispatcher.look_up,
         )
-        self.centres = Centres(
+        self.remote_owners = RemoteOwners(
             self.listed_peers,
             self.peers,
             self.clock,
@@ -190,8 +190,8 @@
             self.store,
             self.peers,
             self.clock,
-            self.exchange.ownership_notice,
-            self.exchange.record_seen,
+            self.exchange.on_ownership_notice,
+            self.exchange.on_record_seen,
         )
         self.acceptance = Acceptance(self.store, self.clock)
         loader = self.acceptance.loader
@@ -201,7 +201,7 @@
             self.store,
             self.peers,
             self.clock,
-            self.exchange.apply,
+            self.exchange.apply_configuration,
         )
         self.vm_list = VmListTask(
             self.store,
@@ -226,7 +226,7 @@
             for address in addresses:
                 if address != self.address:
                     self.peers.learn(address, address)
-        self.exchange.record_seen()
+        self.exchange.on_record_seen()
         self.dispatcher.entry.start()
         self.ownership_task.start()
         self.config_task.start()
@@ -250,7 +250,7 @@
         await self.vm_list.stop()
         await self.config_task.stop()
         await self.ownership_task.stop()
-        await self.centres.stop()
+        await self.remote_owners.stop()
         await self.dispatcher.entry.stop()
         await self.dispatcher.close()
         await self.peers.close()
--- a/src/poplaryard/centres.py
+++ b/src/poplaryard/centres.py
@@ -1,4 +1,4 @@
-"""Owners of the shards of other data centres, asked for when they are needed."""
+"""Cache of the shard owners of other data centres, fetched from them on demand."""
 
 import asyncio
 import itertools
@@ -10,9 +10,9 @@
 from .codes import Code
 from .peers import CallResult, Envelope, PeerTable
 
-__all__ = ["AskOwners", "Centres", "OwnerNotice", "OwnersView"]
+__all__ = ["AskOwners", "RemoteOwners", "OwnerNotice", "OwnersView"]
 
-# Age after which a view is asked for again; it is refreshed only while it is used.
+# Age at which a view is fetched again; it is refreshed only while it is used.
 FRESH_S = 3.0
 ASK_TIMEOUT_S = 1.0
 # Time between two rounds of calls to a data centre that does not answer.
@@ -28,7 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnersView:
-    """Owners of a data centre's shards and the addresses of its processes."""
+    """Owners of a data centre's shards and the addresses of its processes.
+
+    Attributes
+    ----------
+    owners : mapping
+        Shard to process id.
+    addresses : mapping
+        Process id to address.
+    """
 
     data_centre: str
     owners: t.Mapping[str, str]
@@ -37,7 +45,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerNotice:
-    """A process has taken a shard; sent at once, ahead of the record."""
+    """Notice that a process has taken a shard.
+
+    It is sent at once, so that peers need not wait until they read the record.
+    """
 
     shard: str
     owner: str
@@ -48,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class _Centre:
+class _CachedView:
     owners: t.Mapping[str, str] = field(default_factory=dict)
     addresses: t.Mapping[str, str] = field(default_factory=dict)
     seen_at: float = float("-inf")
@@ -57,15 +68,15 @@
     reachable: bool = True
 
 
-class Centres:
-    """Views of the other data centres.
+class RemoteOwners:
+    """Shard owners of the other data centres, cached per data centre.
 
     Parameters
     ----------
     listed : mapping
         Data centre to the addresses listed for it in the settings.
     changed : callable
-        Called when a view has changed.
+        Called after the owners of a data centre have changed.
     """
 
     def __init__(
@@ -79,64 +90,67 @@
         self._peers = peers
         self._clock = clock
         self._changed = changed
-        self._centres: dict[str, _Centre] = {}
+        self._views: dict[str, _CachedView] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._turn = itertools.count()
+        self._rounds = itertools.count()
 
     def owner_of(self, shard: str) -> str | Code:
-        """Return the owner of a shard, or why none can be named now."""
+        """Return the cached owner of a shard, or the reason why none is known.
+
+        A stale or missing view is fetched in the background.
+        """
         name = shard.rpartition("/")[0]
-        centre = self._centres.setdefault(name, _Centre())
+        cached = self._views.setdefault(name, _CachedView())
         now = self._clock.now()
-        if now - centre.seen_at > FRESH_S:
-            self._ask(name, centre, now)
-        if not centre.reachable:
+        if now - cached.seen_at > FRESH_S:
+            self._ask(name, cached, now)
+        if not cached.reachable:
             return Code.HOME_UNREACHABLE
-        return centre.owners.get(shard) or Code.NOT_OWNER
+        return cached.owners.get(shard) or Code.NOT_OWNER
 
-    def doubt(self, process: str) -> None:
-        """Ask again for the view that names a process, which did not answer."""
-        for centre in self._centres.values():
-            if process in centre.owners.values():
-                centre.seen_at = float("-inf")
+    def invalidate(self, process: str) -> None:
+        """Mark views that name a process as stale, as it did not answer."""
+        for cached in self._views.values():
+            if process in cached.owners.values():
+                cached.seen_at = float("-inf")
 
     def receive(self, view: OwnersView) -> None:
-        """Take a view."""
-        centre = self._centres.setdefault(view.data_centre, _Centre())
-        changed = centre.owners != view.owners
-        centre.owners, centre.addresses = view.owners, view.addresses
-        centre.seen_at = self._clock.now()
+        """Cache a view that a peer has sent."""
+        cached = self._views.setdefault(view.data_centre, _CachedView())
+        changed = cached.owners != view.owners
+        cached.owners, cached.addresses = view.owners, view.addresses
+        cached.seen_at = self._clock.now()
         for process, address in view.addresses.items():
             self._peers.learn(process, address)
         if changed:
             self._changed()
 
     async def stop(self) -> None:
-        """End the calls in progress."""
+        """Cancel the calls in progress."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _ask(self, name: str, centre: _Centre, now: float) -> None:
-        if centre.asking or now - centre.asked_at < RETRY_S:
+    def _ask(self, name: str, cached: _CachedView, now: float) -> None:
+        if cached.asking or now - cached.asked_at < RETRY_S:
             return
-        centre.asking, centre.asked_at = True, now
-        task = asyncio.create_task(self._ask_any(name, centre))
+        cached.asking, cached.asked_at = True, now
+        task = asyncio.create_task(self._ask_any(name, cached))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask_any(self, name: str, centre: _Centre) -> None:
-        addresses = [*centre.addresses.values(), *self._listed.get(name, ())]
+    async def _ask_any(self, name: str, cached: _CachedView) -> None:
+        addresses = [*cached.addresses.values(), *self._listed.get(name, ())]
         addresses = list(dict.fromkeys(addresses))
-        start = next(self._turn) % max(1, len(addresses))
+        start = next(self._rounds) % max(1, len(addresses))
         try:
             for address in addresses[start:] + addresses[:start]:
                 if await self._ask_one(name, address):
-                    centre.reachable = True
+                    cached.reachable = True
                     return
-            centre.reachable = False
+            cached.reachable = False
         finally:
-            centre.asking = False
+            cached.asking = False
 
     async def _ask_one(self, name: str, address: str) -> bool:
         self._peers.learn(address, address)
--- a/src/poplaryard/context.py
+++ b/src/poplaryard/context.py
@@ -88,7 +88,9 @@
             return True
         known = await self._finder.explain(request_id) is not None
         if known:
-            self._dispatcher.cancel_at(self._finder.may_know(request_id), request_id)
+            self._dispatcher.send_cancel(
+                self._finder.candidates(request_id), request_id
+            )
         return known
 
     async def explain(self, request_id: str) -> str:
--- a/src/poplaryard/dispatch.py
+++ b/src/poplaryard/dispatch.py
@@ -1,4 +1,4 @@
-"""Finds the owner of work and passes messages between entry, shards and peers."""
+"""Dispatch of work to shard owners and of messages between entry, shards and peers."""
 
 import asyncio
 import random
@@ -25,17 +25,20 @@
 
 
 class Dispatcher:
-    """Shards that this process owns, and the way to the owners of all others.
+    """Shards that this process owns, and routing to the owners of all others.
 
     Parameters
     ----------
     process, data_centre : str
     owner_of : callable
-        Returns the process id of a shard's owner, or why it has none.
+        Returns the process id of a shard's owner, or the reason why none is known.
     send : callable
-        Takes the process id of a peer and an envelope for it.
-    notice : callable
-        Takes what the shards report besides answers: audit events, refused epochs.
+        Sends an envelope to the peer with a process id.
+    on_notice : callable
+        Called with what the shards report besides answers: audit events, refused
+        epochs.
+    requests_limit : int
+        Maximum number of open requests of callers.
     holds_lease : callable
         Returns whether this process holds its store lease.
     """
@@ -47,7 +50,7 @@
         workers: Workers,
         owner_of: OwnerOf,
         send: Send,
-        notice: t.Callable[[t.Any], None],
+        on_notice: t.Callable[[t.Any], None],
         requests_limit: int,
         holds_lease: t.Callable[[], bool] = lambda: True,
     ):
@@ -58,12 +61,12 @@
         self._workers = workers
         self._owner_of = owner_of
         self._send_peer = send
-        self._notice = notice
+        self._on_notice = on_notice
         self._holds_lease = holds_lease
         self._rng = random.Random()
-        # Last wall-clock time at which a VM left each shard, as far as is known.
-        self._departed: dict[str, float] = {}
-        self._started = _clock.wall()
+        # Last wall-clock time at which this process saw a VM leave each shard.
+        self._vm_left_at: dict[str, float] = {}
+        self._started_at = _clock.wall()
 
     def configure(self, config: Configuration) -> None:
         """Apply a newer configuration."""
@@ -71,7 +74,7 @@
         self.map.configure(config)
         for shard, vms in before.items():
             if vms - set(self.map.vms_of(shard)):
-                self._departed[shard] = _clock.wall()
+                self._vm_left_at[shard] = _clock.wall()
         for task in self.shards.values():
             self._configure_shard(task)
 
@@ -79,33 +82,33 @@
         """Return the names of the shards of this data centre."""
         return self.map.local()
 
-    def take(self, taken: ShardTaken) -> ShardTask:
-        """Start to serve a shard; it places nothing until it is given authority."""
+    def take_shard(self, taken: ShardTaken) -> ShardTask:
+        """Start serving a shard; it places no work until it is given authority."""
         shard = taken.shard
         task = ShardTask(
             shard,
             self.process,
             self._workers,
             self.deliver,
-            self._notice,
+            self._on_notice,
             self._rng,
             self._holds_lease,
         )
         self.shards[shard] = task
         vms = self.map.vms_of(shard)
-        task.take_over(taken, vms, self._departed.get(shard, self._started))
+        task.take_over(taken, vms, self._vm_left_at.get(shard, self._started_at))
         self._configure_shard(task)
         task.start()
         return task
 
-    async def release(self, shard: str) -> None:
+    async def release_shard(self, shard: str) -> None:
         """Stop serving a shard."""
         task = self.shards.pop(shard, None)
         if task is not None:
             await task.stop()
 
     async def wait_until_idle(self, timeout_s: float) -> None:
-        """Wait until the shards here have answered every request they have taken."""
+        """Wait until the shards here have answered all their requests, or a timeout."""
         waits = [
             asyncio.ensure_future(task.idle.wait()) for task in self.shards.values()
         ]
@@ -118,34 +121,34 @@
     async def close(self) -> None:
         """Stop serving all shards."""
         for shard in list(self.shards):
-            await self.release(shard)
+            await self.release_shard(shard)
 
-    def authority(self, msg: Authority) -> None:
-        """Pass a new authority on to its shard."""
+    def update_authority(self, msg: Authority) -> None:
+        """Pass a new authority to its shard."""
         if msg.shard in self.shards:
             self.shards[msg.shard].post(msg)
 
     def vm_leaving(self, name: str, leaving: bool) -> None:
-        """Pass on what the platform's list says about a VM."""
+        """Tell the shards whether the platform's list marks a VM as leaving."""
         for task in self.shards.values():
             task.vm_leaving(name, leaving)
 
     def vm_gone(self, name: str) -> None:
-        """Pass on that a VM is no longer listed."""
+        """Tell the shards that the platform no longer lists a VM."""
         for shard in self.map.local():
             if name in self.map.vms_of(shard):
-                self._departed[shard] = _clock.wall()
+                self._vm_left_at[shard] = _clock.wall()
         for task in self.shards.values():
             task.vm_gone(name)
 
     def route(self, work: Work) -> tuple[str, str] | Code:
-        """Return the shard and the owner of work, or why there is none."""
+        """Return the shard for work and its owner, or the reason why there is none."""
         shard = self.map.shard_for(work)
         owner = self._owner_of(shard) if shard else Code.NOT_OWNER
         return owner if isinstance(owner, Code) else (shard, owner)
 
     def submit(self, process: str, shard: str, msg: Submit, again: bool) -> None:
-        """Send work to an owner."""
+        """Send work to an owner; `again` says that it may have received it before."""
         self._send(process, Envelope(msg, shard, again))
 
     def cancel(self, process: str, shard: str, msg: Cancel) -> None:
@@ -157,7 +160,7 @@
         self._send(process, Envelope(msg))
 
     def receive(self, sender: str, envelope: Envelope) -> None:
-        """Take a message from a peer or from this process."""
+        """Handle a message from a peer or from this process."""
         msg = envelope.message
         if isinstance(msg, Answer):
             self.entry.on_answer(sender, msg)
@@ -167,19 +170,23 @@
             self._receive_cancel(envelope.shard, msg)
 
     def undelivered(self, process: str, envelope: Envelope, code: Code) -> None:
-        """Take back a message that did not reach a peer, or perhaps not."""
+        """Handle a message that did not reach a peer, or may not have."""
         if isinstance(envelope.message, Submit):
             self.entry.undelivered(process, envelope.message.work, code)
 
     def look_up(self, question: Lookup) -> list[LookupReply]:
-        """Return what the shards here know of a request."""
+        """Return what the shards and the entry of this process know of a request."""
         request_id, reply_to = question.request_id, question.reply_to
         found = [task.look_up(request_id, reply_to) for task in self.shards.values()]
         found.append(self._look_up_entry(request_id, reply_to))
         return [LookupReply(request_id, text) for text in found if text is not None]
 
     def _look_up_entry(self, request_id: str, reply_to: str) -> str | None:
-        """Answer for a request that a caller has open here, if it has no owner yet."""
+        """Return the state of a request open here; None if it is not open.
+
+        The process `reply_to` gets the answer when there is one, and no explanation if
+        it is this process.
+        """
         fut = self.entry.answer_future(request_id)
         if fut is None or reply_to == self.process:
             return None
@@ -187,20 +194,20 @@
             fut.add_done_callback(lambda done: self.deliver(reply_to, done.result()))
         return "The request waits until its shard has an owner that answers."
 
-    def owners_of(self, request_id: str) -> tuple[set[str], bool]:
+    def owner_candidates(self, request_id: str) -> tuple[set[str], bool]:
         """Return the owners that may know a request, and whether these are all."""
         shards = {*self.local_shards(), self.map.home(request_id)} - {""}
         found = [self._owner_of(shard) for shard in shards]
         owners = {owner for owner in found if not isinstance(owner, Code)}
         return owners, Code.NOT_OWNER not in found
 
-    def cancel_at(self, processes: t.Iterable[str], request_id: str) -> None:
-        """Send a cancellation to processes that may know a request."""
+    def send_cancel(self, processes: t.Iterable[str], request_id: str) -> None:
+        """Send a cancellation to `processes`, for whatever shard holds the request."""
         for process in processes:
             self.cancel(process, "", Cancel(request_id))
 
     def _receive_cancel(self, shard: str, msg: Cancel) -> None:
-        """Cancel a request in one shard, or wherever it is known here."""
+        """Cancel a request in `shard`; if empty, in all shards and the entry."""
         if shard:
             tasks = [self.shards[shard]] if shard in self.shards else []
         else:
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -1,4 +1,4 @@
-"""Requests that callers have open at this process, and where they are sent."""
+"""Open requests of the callers of this process: sending, retries and answers."""
 
 import asyncio
 import typing as t
@@ -14,15 +14,16 @@
 
 _clock = SystemClock()
 
-# Time after the deadline in which the owner's own answer may still arrive.
+# Time after the deadline for which the entry still waits for the owner's answer.
 ANSWER_GRACE_S = 0.5
-# Interval after which an unanswered request is sent again with the same id: its owner
-# or the answer may be lost, and an owner that knows the id does not run it twice.
+# Interval after which an unanswered request is resent with the same id: the owner may
+# have failed or its answer may be lost. An owner that knows the id does not rerun it.
 RESEND_S = 2.0
 RETRY_WAIT_S = 0.05
 CHECK_PERIOD_S = 0.25
 ANSWERS_KEPT = 20_000
-# Requests handed in elsewhere whose answers are awaited here; the oldest are dropped.
+# Maximum number of requests submitted at other entry processes whose answers are
+# awaited here; beyond it the oldest are dropped.
 WATCHED_LIMIT = 10_000
 
 # Codes after which the request may be sent to another owner.
@@ -40,13 +41,16 @@
 
 
 class Router(t.Protocol):
-    """Finds owners and sends messages to them."""
+    """Finds shard owners and sends messages to them."""
 
     def route(self, work: Work) -> tuple[str, str] | Code:
-        """Return the shard and its owner for work, or why there is none."""
+        """Return the shard for work and its owner, or the reason why there is none."""
 
     def submit(self, process: str, shard: str, msg: Submit, again: bool) -> None:
-        """Send work to an owner; failures come back to `Entry.undelivered`."""
+        """Send work to an owner; report failures to `Entry.undelivered`.
+
+        `again` says that the owner may have received the request before.
+        """
 
     def cancel(self, process: str, shard: str, msg: Cancel) -> None:
         """Send a cancellation to an owner."""
@@ -58,11 +62,17 @@
 
     Attributes
     ----------
-    unresolved : Counter of str
-        Processes that may have taken the request and have not answered, with the
-        number of times that it was sent to them.
     attempt : int
-        Shared by the copies sent until one is refused; see `Submit`.
+        Attempt number, shared by all copies sent until one is refused; see `Submit`.
+    owner : str
+        Process that the request was last sent to; empty while it waits for a retry.
+    unresolved : Counter of str
+        Processes that may have accepted the request and have not answered, with the
+        number of copies sent to them.
+    sent_at, retry_at : float
+        Time of the last send, and of the next retry if one is scheduled.
+    last_code : Code
+        Reason for the last failure to send the request or to get it accepted.
     """
 
     work: Work
@@ -74,16 +84,18 @@
     unresolved: Counter[str] = field(default_factory=Counter)
     sent_at: float = 0.0
     retry_at: float = 0.0
-    last: Code = Code.NOT_OWNER
+    last_code: Code = Code.NOT_OWNER
 
 
 class Entry:
-    """Open requests of callers, by request id.
+    """Sends callers' requests to shard owners and keeps them until they are answered.
 
     Parameters
     ----------
     process : str
         Id of this process, to which answers are sent.
+    limit : int
+        Maximum number of open requests; further ones get `QUEUE_FULL`.
     """
 
     def __init__(self, process: str, router: Router, limit: int):
@@ -97,17 +109,17 @@
         self._check_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the task that watches deadlines and sends again."""
+        """Start the task that enforces deadlines and resends requests."""
         self._check_task = asyncio.create_task(self._run_checks())
 
     async def stop(self) -> None:
-        """End the task."""
+        """Stop the task."""
         if self._check_task is not None:
             self._check_task.cancel()
             await asyncio.gather(self._check_task, return_exceptions=True)
 
     async def wait_until_answered(self, timeout_s: float) -> bool:
-        """Wait until all open requests are answered; False if that took too long."""
+        """Wait until all open requests are answered; return False on a timeout."""
         futures = [pending.fut for pending in self._open.values()]
         if futures:
             await asyncio.wait(futures, timeout=max(0.0, timeout_s))
@@ -119,7 +131,7 @@
         return len(self._open)
 
     def watch_answer(self, request_id: str) -> "asyncio.Future[Answer]":
-        """Return a future of the answer to a request handed in elsewhere."""
+        """Return a future of the answer to a request submitted at another process."""
         fut = self._watched.get(request_id)
         if fut is None:
             fut = asyncio.get_running_loop().create_future()
@@ -134,18 +146,19 @@
         return found[1] if found else None
 
     def is_open(self, request_id: str) -> bool:
-        """Return whether a request waits here for its answer."""
+        """Return whether a request of this process has no answer yet."""
         return request_id in self._open
 
     def work_of(self, request_id: str) -> tuple[Work, str, str] | None:
-        """Return an open request with its shard and owner."""
+        """Return an open request's work, shard and owner; None if it is not open."""
         found = self._open.get(request_id)
         return (found.work, found.shard, found.owner) if found else None
 
     def submit(self, work: Work, digest: str) -> "asyncio.Future[Answer] | Answer":
-        """Take a request; return its answer or a future of it.
+        """Send a request to its owner; return its answer or a future of it.
 
-        A request whose id is open or answered here is not sent again.
+        A request whose id is open or answered here is not sent again; `digest` of the
+        body shows whether it is the same request.
         """
         known = self._answers.get(work.request_id)
         if known is not None:
@@ -165,23 +178,23 @@
         return pending.fut
 
     def answer_future(self, request_id: str) -> "asyncio.Future[Answer] | None":
-        """Return the future of an open request."""
+        """Return the future of an open request's answer; None if it is not open."""
         pending = self._open.get(request_id)
         return pending.fut if pending else None
 
     def cancel(self, request_id: str) -> bool:
-        """Pass on a cancellation; False if the request is not open here."""
+        """Forward a cancellation; return False if the request is not open here."""
         pending = self._open.get(request_id)
         if pending is None:
             return False
         if pending.owner:
             self._router.cancel(pending.owner, pending.shard, Cancel(request_id))
         else:
-            self._finish(pending, Code.CANCELLED)
+            self._complete_with_code(pending, Code.CANCELLED)
         return True
 
     def on_answer(self, source: str, answer: Answer) -> None:
-        """Take the answer that a process gave."""
+        """Handle the answer of the process `source`."""
         watched = self._watched.pop(answer.request_id, None)
         if watched is not None and not watched.done():
             watched.set_result(answer)
@@ -190,17 +203,21 @@
             return
         self._resolve(pending, source, answer.code)
         if answer.outcome is not Outcome.NOT_RUN:
-            self._settle(pending, answer)
+            self._complete(pending, answer)
         elif answer.code in _REROUTED:
             self._retry_later(pending, answer.code)
         elif pending.unresolved:
-            # Another process may have run it, so that "not run" would not be true.
-            self._finish(pending, Code.UNKNOWN_OUTCOME)
+            # Another process may have run it, so "not run" could be wrong.
+            self._complete_with_code(pending, Code.UNKNOWN_OUTCOME)
         else:
-            self._settle(pending, answer)
+            self._complete(pending, answer)
 
     def undelivered(self, process: str, work: Work, code: Code) -> None:
-        """Note that a request did not reach an owner, or perhaps not."""
+        """Handle a request that did not reach an owner, or may not have.
+
+        With `PEER_UNREACHABLE` it certainly did not and goes to another owner. With any
+        other code it may have, and is resent to the same owner at the next check.
+        """
         pending = self._open.get(work.request_id)
         if pending is None:
             return
@@ -212,7 +229,7 @@
             self._retry_later(pending, code)
 
     def owners_changed(self) -> None:
-        """Send every open request whose shard has a new owner to that owner."""
+        """Resend every open request whose shard has a new owner to that owner."""
         now = _clock.now()
         for pending in list(self._open.values()):
             found = self._router.route(pending.work)
@@ -233,45 +250,45 @@
 
     def _retry_later(self, pending: _Pending, code: Code) -> None:
         now = _clock.now()
-        pending.last, pending.owner = code, ""
+        pending.last_code, pending.owner = code, ""
         pending.attempt = _next_attempt(pending.attempt)
         if code in _REROUTED and now + RETRY_WAIT_S < pending.work.deadline:
             pending.retry_at = now + RETRY_WAIT_S
             loop = asyncio.get_running_loop()
             loop.call_later(RETRY_WAIT_S, self._retry, pending)
         else:
-            self._finish(pending, code)
+            self._complete_with_code(pending, code)
 
     def _retry(self, pending: _Pending) -> None:
         if pending.fut.done() or not pending.retry_at:
             return
         now = _clock.now()
         if now >= pending.work.deadline:
-            self._finish(pending, pending.last)
+            self._complete_with_code(pending, pending.last_code)
         elif self._budget.take(now):
             self._send(pending, now)
         else:
-            self._retry_later(pending, pending.last)
+            self._retry_later(pending, pending.last_code)
 
     def _resolve(self, pending: _Pending, process: str, code: Code) -> None:
-        """Note that a process has said what became of a request.
+        """Update `unresolved` for a process that has answered or was not reached.
 
-        A refusal of one message says nothing about the same request sent before, which
-        the process may have taken while it still owned the shard.
+        A code that reroutes the request settles one copy only: the process may have
+        accepted an earlier copy while it still owned the shard.
         """
         if code in _REROUTED:
             pending.unresolved[process] -= 1
-            pending.unresolved += Counter()  # drops the counts that are zero
+            pending.unresolved += Counter()  # removes counts of zero
         else:
             pending.unresolved.pop(process, None)
 
-    def _finish(self, pending: _Pending, code: Code) -> None:
-        """Answer a request here; never "not run" if an owner may have taken it."""
+    def _complete_with_code(self, pending: _Pending, code: Code) -> None:
+        """Answer with `code`, or "unknown" if an owner may have run the request."""
         if pending.unresolved and code.outcome is Outcome.NOT_RUN:
             code = Code.UNKNOWN_OUTCOME
-        self._settle(pending, _refusal(pending.work, code, 1.0))
+        self._complete(pending, _refusal(pending.work, code, 1.0))
 
-    def _settle(self, pending: _Pending, answer: Answer) -> None:
+    def _complete(self, pending: _Pending, answer: Answer) -> None:
         request_id = pending.work.request_id
         if self._open.pop(request_id, None) is None:
             return
@@ -290,7 +307,7 @@
 
     def _check(self, pending: _Pending, now: float) -> None:
         if now >= pending.work.deadline + ANSWER_GRACE_S:
-            self._finish(pending, Code.EXPIRED)
+            self._complete_with_code(pending, Code.EXPIRED)
         elif not pending.retry_at and now >= pending.sent_at + RESEND_S:
             self._send(pending, now)
 
@@ -303,9 +320,10 @@
 
 
 def _next_attempt(last: int) -> int:
-    """Return a number above `last` that also grows from one entry process to another.
+    """Return an attempt number above `last`, from the wall clock in milliseconds.
 
-    The wall clock gives it; a caller that turns to an entry process whose clock is
-    behind gets the old answer until that clock has caught up.
+    The wall clock makes the number grow also when a caller resubmits a request at
+    another entry process. If that process's clock is behind, the caller gets the old
+    answer until the clock has caught up.
     """
     return max(last + 1, int(_clock.wall() * 1000))
--- a/src/poplaryard/exchange.py
+++ b/src/poplaryard/exchange.py
@@ -1,4 +1,4 @@
-"""Passes messages between the parts of a process and its peers."""
+"""Routing of messages between the components of a process and its peers."""
 
 import asyncio
 import random
@@ -32,12 +32,13 @@
 
 
 class Exchange:
-    """Knows which part takes which message.
+    """Passes each message or notice to the component that handles it.
 
     Parameters
     ----------
     app : Application
-        Owner of the parts, which may still be missing when this is made.
+        Holder of the components. They may be created after this object, so they are
+        looked up on each call.
     """
 
     def __init__(self, app: "Application"):
@@ -47,15 +48,15 @@
         self._members: Members | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def may_know(self, request_id: str) -> tuple[set[str], bool]:
-        """Return who may know a request, and whether these are all."""
-        owners, complete = self._app.dispatcher.owners_of(request_id)
+    def lookup_candidates(self, request_id: str) -> tuple[set[str], bool]:
+        """Return the processes that may know a request, and whether these are all."""
+        owners, complete = self._app.dispatcher.owner_candidates(request_id)
         return owners | set(self._app.ownership_task.live_members()), complete
 
     def owner_of(self, shard: str) -> str | Code:
-        """Return the owner of a shard, or why none can be named."""
+        """Return the owner of a shard, or the reason why none is known."""
         if shard.rpartition("/")[0] != self._data_centre:
-            return self._app.centres.owner_of(shard)
+            return self._app.remote_owners.owner_of(shard)
         entry = self._app.ownership_task.ownership.record.shards.get(shard)
         notice = self._notices.get(shard)
         if notice is not None and (entry is None or notice.epoch > entry.epoch):
@@ -63,7 +64,7 @@
         return (entry.owner if entry else "") or Code.NOT_OWNER
 
     def receive(self, sender: str, envelope: Envelope) -> t.Sequence[t.Any] | None:
-        """Take a message from a peer; return what goes back with the reply."""
+        """Handle a message from a peer; return the messages to reply with."""
         msg = envelope.message
         if isinstance(msg, Heartbeat | HeartbeatReply):
             self._app.config_task.peer_number(msg.sender, msg.config_number)
@@ -73,9 +74,9 @@
         elif isinstance(msg, AskOwners):
             return self._owners_view(msg)
         elif isinstance(msg, OwnersView):
-            self._app.centres.receive(msg)
+            self._app.remote_owners.receive(msg)
         elif isinstance(msg, OwnerNotice):
-            self._owner_notice(msg)
+            self._on_owner_notice(msg)
         elif isinstance(msg, Lookup):
             return self._app.dispatcher.look_up(msg)
         elif isinstance(msg, LookupReply):
@@ -86,14 +87,14 @@
         return None
 
     def send(self, process: str, envelope: Envelope) -> None:
-        """Send a message to a peer; answers go with a held reply if there is one."""
+        """Send a message to a peer; answers use a held reply to it if there is one."""
         answer = isinstance(envelope.message, Answer)
         if not (answer and self._app.peers.reply(process, envelope.message)):
             self._app.peers.send(process, envelope)
 
     def undelivered(self, process: str, envelope: Envelope, code: Code) -> None:
-        """Take back a message that did not reach a peer, or perhaps not."""
-        self._app.centres.doubt(process)
+        """Handle a message that did not reach a peer, or may not have."""
+        self._app.remote_owners.invalidate(process)
         self._app.dispatcher.undelivered(process, envelope, code)
 
     def _owners_view(self, question: AskOwners) -> list[OwnersView]:
@@ -105,41 +106,41 @@
         addresses = {name: item.address for name, item in record.members.items()}
         return [OwnersView(question.data_centre, owners, addresses)]
 
-    def _owner_notice(self, notice: OwnerNotice) -> None:
+    def _on_owner_notice(self, notice: OwnerNotice) -> None:
         known = self._notices.get(notice.shard)
         if known is None or known.epoch < notice.epoch:
             self._notices[notice.shard] = notice
             self._app.dispatcher.entry.owners_changed()
 
-    def shard_notice(self, notice: t.Any) -> None:
-        """Take what a shard reports besides answers."""
+    def on_shard_notice(self, notice: t.Any) -> None:
+        """Handle what a shard reports besides answers."""
         if isinstance(notice, EpochRefused):
             self._app.ownership_task.handle(notice)
         elif isinstance(notice, AuditEvent):
             self._app.audit_log.add(self._app.clock.now(), notice)
 
-    def ownership_notice(self, notice: t.Any) -> None:
-        """Take a change of the shards that this process owns."""
+    def on_ownership_notice(self, notice: t.Any) -> None:
+        """Handle a change of the shards that this process owns or of its authority."""
         if isinstance(notice, Authority):
-            self._app.dispatcher.authority(notice)
+            self._app.dispatcher.update_authority(notice)
         elif isinstance(notice, ShardTaken):
-            self._take(notice)
+            self._take_shard(notice)
         elif isinstance(notice, ShardReleased):
             logger.info("shard released", extra={"shard": notice.shard})
-            self._spawn(self._app.dispatcher.release(notice.shard))
+            self._spawn(self._app.dispatcher.release_shard(notice.shard))
 
-    def _take(self, taken: ShardTaken) -> None:
+    def _take_shard(self, taken: ShardTaken) -> None:
         logger.info("shard taken", extra={"shard": taken.shard, "epoch": taken.epoch})
-        task = self._app.dispatcher.take(taken)
-        self._spawn(self._read_list_for(task))
+        task = self._app.dispatcher.take_shard(taken)
+        self._spawn(self._confirm_vm_list(task))
         notice = OwnerNotice(taken.shard, self._app.process, taken.epoch)
-        self._owner_notice(notice)
+        self._on_owner_notice(notice)
         for name in self._app.ownership_task.live_members():
             if name != self._app.process:
                 self._app.peers.send(name, Envelope(notice))
 
-    async def _read_list_for(self, task: ShardTask) -> None:
-        """Read configuration and VM list after a take-over, which then is complete.
+    async def _confirm_vm_list(self, task: ShardTask) -> None:
+        """Read configuration and VM list, without which a take-over is not complete.
 
         The old owner may have used a VM that this process did not know of yet.
         """
@@ -159,8 +160,8 @@
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(log_failure)
 
-    def record_seen(self) -> None:
-        """Follow the members and owners as last seen."""
+    def on_record_seen(self) -> None:
+        """Apply the members and owners of the record as last read."""
         live = tuple(self._app.ownership_task.live_members())
         ready = self._app.config_task.rollout.ready
         remote = {
@@ -169,7 +170,9 @@
             if name != self._data_centre
         }
         if not ready:
-            # The listed peers here serve a process that starts during a store outage.
+            # A process that starts during a store outage cannot read the members; it
+            # gets the configuration from the peers that the settings list for this data
+            # centre.
             remote[""] = tuple(self._app.listed_peers.get(self._data_centre, ()))
         members = Members(live or (self._app.process,), remote)
         if members != self._members:
@@ -177,7 +180,7 @@
             self._app.config_task.set_members(members)
         self._app.dispatcher.entry.owners_changed()
 
-    def apply(self, configure: Configure) -> None:
+    def apply_configuration(self, configure: Configure) -> None:
         """Put a configuration in force."""
         self._app.dispatcher.configure(configure.config)
         shards = self._app.dispatcher.local_shards()
@@ -185,4 +188,4 @@
         logger.info("ticket in force", extra={"number": number})
         self._app.ownership_task.handle(ShardsConfigured(shards, number))
         if number:
-            self.record_seen()
+            self.on_record_seen()
--- a/src/poplaryard/lookup.py
+++ b/src/poplaryard/lookup.py
@@ -1,4 +1,4 @@
-"""Finds a request that was handed in at another entry process."""
+"""Lookup of requests that were submitted at another entry process."""
 
 import asyncio
 import typing as t
@@ -12,20 +12,20 @@
 __all__ = ["Finder", "Lookup", "LookupReply"]
 
 CALL_TIMEOUT_S = 1.0
-# Long enough for a take-over, after which the new owner can be asked.
+# Rounds of calls; together they outlast a take-over, whose new owner can then be asked.
 ROUNDS = 60
 ROUND_WAIT_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """Question to an owner about a request.
+    """Query to a process about a request.
 
     Attributes
     ----------
     reply_to : str
-        Process that wants the answer when there is one; empty if only the state is
-        wanted.
+        Process to which the answer is sent when there is one; empty if only the state
+        is wanted.
     """
 
     request_id: str
@@ -34,7 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupReply:
-    """What an owner that knows a request says about it."""
+    """State of a request, from a process that knows it.
+
+    Attributes
+    ----------
+    explanation : str
+        One sentence that describes the state of the request.
+    """
 
     request_id: str
     explanation: str
@@ -44,35 +50,43 @@
 
 
 class Finder:
-    """Asks all processes of the data centre, and the id's home, about a request.
+    """Queries the processes that may know a request: owners of shards, and entries.
 
     Parameters
     ----------
-    others : callable
-        Returns the processes that may know a request id, and whether these are all:
-        a shard without a known owner may hold it as well.
+    candidates : callable
+        Returns the processes that may know a request id, and whether the set is
+        complete. It is not while a shard that may hold the request has no known owner.
     ask_self : callable
-        Takes a `Lookup` in this process and returns the replies.
+        Handles a `Lookup` in this process and returns the replies.
     """
 
     def __init__(
         self,
         process: str,
         peers: PeerTable,
-        others: t.Callable[[str], tuple[set[str], bool]],
+        candidates: t.Callable[[str], tuple[set[str], bool]],
         ask_self: t.Callable[[Lookup], t.Sequence[t.Any]],
     ):
         self._process = process
         self._peers = peers
-        self._others = others
+        self._lookup_candidates = candidates
         self._ask_self = ask_self
         self._found: dict[str, str] = {}
 
     async def explain(self, request_id: str, watch: bool = False) -> str | None:
-        """Return where a request stands, or None if certainly nobody knows it.
-
-        With `watch`, the answer is sent to this process when there is one. Raises
-        `CallError` if somebody who may know it does not answer.
+        """Return one sentence on the state of a request, or None if nobody knows it.
+
+        Parameters
+        ----------
+        watch : bool
+            Whether the answer is sent to this process when there is one.
+
+        Raises
+        ------
+        CallError
+            `Code.PEER_TIMEOUT` if the request was not found and a process that may know
+            it did not answer.
         """
         self._found.pop(request_id, None)
         question = Lookup(request_id, self._process if watch else "")
@@ -85,25 +99,29 @@
         detail = "Not every process that may know the request has answered."
         raise CallError(Code.PEER_TIMEOUT, detail)
 
-    def may_know(self, request_id: str) -> set[str]:
+    def candidates(self, request_id: str) -> set[str]:
         """Return the processes that may know a request."""
-        return self._others(request_id)[0] | {self._process}
+        return self._lookup_candidates(request_id)[0] | {self._process}
 
     async def _ask_all(self, question: Lookup) -> bool:
-        """Ask everyone once; return whether nobody else can know the request."""
+        """Query all candidates once; return whether the result is conclusive.
+
+        It is if this process knows the request, or if the set of candidates is complete
+        and all of them have answered.
+        """
         for reply in self._ask_self(question):
             self.receive(reply)
         if question.request_id in self._found:
             return True
-        others, complete = self._others(question.request_id)
+        candidates, complete = self._lookup_candidates(question.request_id)
         batch = [Envelope(question)]
         calls = (
             self._peers.call(name, batch, CALL_TIMEOUT_S)
-            for name in others - {self._process}
+            for name in candidates - {self._process}
         )
         results = await asyncio.gather(*calls)
         return complete and all(item is CallResult.DELIVERED for item in results)
 
     def receive(self, reply: LookupReply) -> None:
-        """Take a reply."""
+        """Record the reply of a process that knows the request."""
         self._found[reply.request_id] = reply.explanation
--- a/tests/test_centres.py
+++ b/tests/test_centres.py
@@ -2,13 +2,13 @@
 
 import testtools
 
-from poplaryard.centres import FRESH_S, RETRY_S, Centres, OwnersView
+from poplaryard.centres import FRESH_S, RETRY_S, OwnersView, RemoteOwners
 from poplaryard.clock import VirtualClock
 from poplaryard.codes import Code
 from poplaryard.peers import CallResult
 
 
-class CentresTest(testtools.TestCase):
+class RemoteOwnersTest(testtools.TestCase):
     """Views of other data centres; the test is the peer table."""
 
     def setUp(self):
@@ -17,7 +17,9 @@
         self.asked, self.answers, self.learned = [], {}, {}
         self.changes = []
         listed = {"dc2": ["a:1", "a:2"]}
-        self.centres = Centres(listed, self, self.clock, lambda: self.changes.append(1))
+        self.owners = RemoteOwners(
+            listed, self, self.clock, lambda: self.changes.append(1)
+        )
 
     def learn(self, process, address):
         self.learned[process] = address
@@ -27,16 +29,16 @@
         view = self.answers.get(address)
         if view is None:
             return CallResult.UNKNOWN
-        self.centres.receive(view)
+        self.owners.receive(view)
         return CallResult.DELIVERED
 
     def owner(self):
         """Ask for the owner of a shard, and again when the calls have ended."""
 
         async def run():
-            self.centres.owner_of("dc2/0")
-            await asyncio.gather(*self.centres._tasks)
-            return self.centres.owner_of("dc2/0")
+            self.owners.owner_of("dc2/0")
+            await asyncio.gather(*self.owners._tasks)
+            return self.owners.owner_of("dc2/0")
 
         return asyncio.run(run())
 
@@ -67,6 +69,6 @@
         self.answers["a:1"] = OwnersView("dc2", {"dc2/0": "q#1"}, {})
         self.owner()
         self.answers["a:1"] = OwnersView("dc2", {}, {})
-        self.centres.doubt("q#1")
+        self.owners.invalidate("q#1")
         self.clock.advance(RETRY_S + 0.1)
         self.assertIs(Code.NOT_OWNER, self.owner())
