--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -225,7 +225,7 @@
         for addresses in self.listed_peers.values():
             for address in addresses:
                 if address != self.address:
-                    self.peers.learn(address, address)
+                    self.peers.set_address(address, address)
         self.exchange.on_record_seen()
         self.dispatcher.entry.start()
         self.ownership_task.start()
--- a/src/poplaryard/centres.py
+++ b/src/poplaryard/centres.py
@@ -121,7 +121,7 @@
         cached.owners, cached.addresses = view.owners, view.addresses
         cached.seen_at = self._clock.now()
         for process, address in view.addresses.items():
-            self._peers.learn(process, address)
+            self._peers.set_address(process, address)
         if changed:
             self._changed()
 
@@ -153,7 +153,7 @@
             cached.asking = False
 
     async def _ask_one(self, name: str, address: str) -> bool:
-        self._peers.learn(address, address)
+        self._peers.set_address(address, address)
         ask = [Envelope(AskOwners(name))]
         result = await self._peers.call(address, ask, ASK_TIMEOUT_S)
         return result is CallResult.DELIVERED
--- a/src/poplaryard/exchange.py
+++ b/src/poplaryard/exchange.py
@@ -89,7 +89,7 @@
     def send(self, process: str, envelope: Envelope) -> None:
         """Send a message to a peer; answers use a held reply to it if there is one."""
         answer = isinstance(envelope.message, Answer)
-        if not (answer and self._app.peers.reply(process, envelope.message)):
+        if not (answer and self._app.peers.send_with_reply(process, envelope.message)):
             self._app.peers.send(process, envelope)
 
     def undelivered(self, process: str, envelope: Envelope, code: Code) -> None:
--- a/src/poplaryard/ownership_io.py
+++ b/src/poplaryard/ownership_io.py
@@ -1,4 +1,4 @@
-"""Task that carries out the commands of `Ownership`: store calls and heartbeats."""
+"""Task that executes the commands of `Ownership`: store calls and heartbeats."""
 
 import asyncio
 import typing as t
@@ -40,11 +40,12 @@
 __all__ = ["OwnershipTask"]
 
 TICK_S = 0.1
-# A gap between two ticks that shows that the process was paused.
+# Time without a tick after which the process is taken to have been paused.
 PAUSE_S = 0.5
 WATCH_WAIT_S = 20.0
 WATCH_RETRY_S = 1.0
-# A heartbeat that takes longer is missed; the next one follows after a second.
+# A heartbeat without a reply after this time counts as missed. The next one is sent a
+# second after the last.
 HEARTBEAT_TIMEOUT_S = 0.9
 
 Notify: t.TypeAlias = t.Callable[[t.Any], None]
@@ -53,13 +54,13 @@
 
 
 class OwnershipTask:
-    """Runs one `Ownership` object.
+    """Drives one `Ownership` object with ticks, messages and results of its commands.
 
     Parameters
     ----------
     notify : callable
-        Takes `ShardTaken`, `ShardReleased` and `Authority`.
-    seen : callable
+        Called with each `ShardTaken`, `ShardReleased` and `Authority`.
+    on_record_seen : callable
         Called after the record or the set of live members may have changed.
     """
 
@@ -71,7 +72,7 @@
         peers: PeerTable,
         clock: Clock,
         notify: Notify,
-        seen: t.Callable[[], None],
+        on_record_seen: t.Callable[[], None],
     ):
         self.ownership = ownership
         self._record_key = f"dc/{data_centre}/assignment"
@@ -81,11 +82,11 @@
         self._peers = peers
         self._clock = clock
         self._notify = notify
-        self._seen = seen
+        self._on_record_seen = on_record_seen
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch: asyncio.Task[None] | None = None
-        self._ticked_at = clock.now()
-        self._ended: set[str] = set()
+        self._last_tick = clock.now()
+        self._ended_leases: set[str] = set()
         self.left = asyncio.Event()
 
     def start(self) -> None:
@@ -93,7 +94,7 @@
         self._spawn(self._tick())
 
     async def leave(self, timeout_s: float) -> bool:
-        """Hand over all shards and end the lease; False if that took too long."""
+        """Hand over all shards and end the lease; return False on a timeout."""
         self.handle(Leave())
         try:
             await asyncio.wait_for(self.left.wait(), timeout_s)
@@ -102,54 +103,57 @@
         return True
 
     async def stop(self) -> None:
-        """End the task and its calls."""
+        """Stop the task and cancel its calls."""
         tasks = [*self._tasks, *([self._watch] if self._watch else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def live_members(self) -> list[str]:
-        """Return the members whose lease holds and that answer, as last seen."""
+        """Return the members whose lease is valid and that are not suspected."""
         record = self.ownership.record
-        live = acquisition.live_members(record, self._ended)
+        live = acquisition.live_members(record, self._ended_leases)
         suspects = set(self.ownership.membership.suspects())
         return [name for name in live if name not in suspects]
 
     def handle(self, msg: t.Any) -> list[t.Any]:
-        """Take one message and carry out what follows; return replies to its sender."""
+        """Handle a message and execute the commands; return replies to its sender."""
         replies: list[t.Any] = []
         for out in self.ownership.handle(self._clock.now(), msg):
             if isinstance(out, HeartbeatReply):
                 replies.append(out)
             else:
-                self._carry_out(out)
+                self._execute(out)
         if isinstance(msg, RecordSeen | RecordWritten | Heartbeat | HeartbeatReply):
-            self._after_record()
+            self._record_changed()
         return replies
 
     def check_pause(self) -> None:
-        """Let authority lapse first if the process was paused since the last tick."""
-        if self._clock.now() - self._ticked_at > PAUSE_S:
-            self._ticked_at = self._clock.now()
+        """Send a `Tick` if the process was paused, so that lapsed authority ends.
+
+        Call it before messages are handled that need the authority.
+        """
+        if self._clock.now() - self._last_tick > PAUSE_S:
+            self._last_tick = self._clock.now()
             self.handle(Tick())
 
-    def _after_record(self) -> None:
+    def _record_changed(self) -> None:
         for name, member in self.ownership.record.members.items():
-            self._peers.learn(name, member.address)
-        self._seen()
+            self._peers.set_address(name, member.address)
+        self._on_record_seen()
 
     async def _tick(self) -> None:
         while True:
-            self._ticked_at = self._clock.now()
+            self._last_tick = self._clock.now()
             self.handle(Tick())
             await asyncio.sleep(TICK_S)
 
-    def _carry_out(self, out: t.Any) -> None:
+    def _execute(self, out: t.Any) -> None:
         handler = _HANDLERS.get(type(out))
         if handler is not None:
             self._spawn(handler(self, out))
         elif isinstance(out, WatchRecord):
-            self._switch_watch(out.on)
+            self._set_watch(out.on)
         elif isinstance(out, ShardTaken | ShardReleased | Authority):
             self._notify(out)
 
@@ -159,7 +163,7 @@
         task.add_done_callback(self._tasks.discard)
         task.add_done_callback(log_failure)
 
-    def _switch_watch(self, on: bool) -> None:
+    def _set_watch(self, on: bool) -> None:
         if self._watch is not None:
             self._watch.cancel()
         self._watch = asyncio.create_task(self._watch_record()) if on else None
@@ -208,14 +212,17 @@
             self.handle(RecordFailed())
 
     async def _read_record(self) -> RecordSeen:
-        """Read the record, then the member keys: a lease missing there has ended."""
+        """Read the record, then the member keys.
+
+        In this order, a lease of the record without a member key has ended.
+        """
         entry = await self._store.get(self._record_key)
         members = await self._store.scan(self._member_prefix)
         live = frozenset(member.value["lease"] for member in members)
         if entry is None:
             return RecordSeen(Record(), 0, live)
         record = wire.decode_as(Record, entry.value, 0.0)
-        self._ended = {m.lease for m in record.members.values()} - live
+        self._ended_leases = {m.lease for m in record.members.values()} - live
         return RecordSeen(record, entry.version, live)
 
     async def _write(self, command: WriteRecord) -> None:
@@ -243,7 +250,7 @@
                 await asyncio.sleep(WATCH_RETRY_S)
 
     async def _send_heartbeat(self, command: SendHeartbeat) -> None:
-        self._peers.learn(command.to, command.address)
+        self._peers.set_address(command.to, command.address)
         envelope = Envelope(command.heartbeat)
         result = await self._peers.call(command.to, [envelope], HEARTBEAT_TIMEOUT_S)
         if result is CallResult.DEAD:
--- a/src/poplaryard/peers.py
+++ b/src/poplaryard/peers.py
@@ -1,4 +1,4 @@
-"""Messages between entry processes: batched calls out, one route in."""
+"""Messages between entry processes, sent in batches over HTTP."""
 
 import asyncio
 import enum
@@ -22,14 +22,14 @@
 
 BATCH_MESSAGES = 256
 BATCH_WAIT_S = 0.002
-# Calls open at once to one peer; beyond these, messages wait for the next call.
+# Maximum number of concurrent calls to one peer; further messages wait.
 CALLS_PER_PEER = 24
-# Time for which the reply to a call is held for the answers to its requests. An answer
-# that comes with the reply saves a call of its own, which costs more than half a
-# millisecond of processor time on both sides together.
+# Time for which the reply to a call is held back so that it can carry the answers to
+# the requests of the call. Each answer sent so saves a call, which costs more than half
+# a millisecond of processor time on both sides together.
 HOLD_S = 0.02
 CALL_TIMEOUT_S = 2.0
-# A batch of full requests: 256 messages of 256 KB would not be bounded.
+# Largest body of a batch; 256 messages of up to 256 KB each could be far larger.
 BATCH_BYTES_LIMIT = 8 * 1024 * 1024
 
 _clock = SystemClock()
@@ -38,8 +38,9 @@
 class CallResult(enum.Enum):
     """What is known about a call to a peer.
 
-    `DEAD` means that its address refuses connections or belongs to another process,
-    which proves that the process has ended.
+    `NOT_SENT` means that it was not received or was refused, and `UNKNOWN` that it may
+    have been received. `DEAD` means that the peer's address refuses connections or
+    belongs to another process, which proves that the peer has ended.
     """
 
     DELIVERED = "delivered"
@@ -50,12 +51,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Message on its way between processes.
+    """Message between processes, with its destination.
 
     Attributes
     ----------
     shard : str
-        Shard that the message is for; empty if it is for the process.
+        Shard that the message is for; empty if it is for the process as a whole.
     again : bool
         Whether the message may have been delivered before.
     """
@@ -70,22 +71,32 @@
 
 
 class _Outbox:
-    """Messages that wait for one peer."""
+    """Messages queued for one peer.
+
+    Attributes
+    ----------
+    in_flight : int
+        Number of messages in calls without a reply.
+    calls : int
+        Number of running `PeerTable._flush` tasks, each with at most one open call.
+    batching : bool
+        Whether one of them waits for further messages before it sends.
+    """
 
     def __init__(self, limit: int):
         self.waiting: deque[Envelope] = deque()
         self.limit = limit
         self.in_flight = 0
         self.calls = 0
-        self.gathering = False
+        self.batching = False
 
     def take(self) -> list[Envelope]:
         count = min(BATCH_MESSAGES, len(self.waiting))
         return [self.waiting.popleft() for _ in range(count)]
 
 
-class _Held:
-    """Reply to a call that waits for answers."""
+class _HeldReply:
+    """Reply to a call, held back until it can carry the answers to the call."""
 
     def __init__(self, count: int):
         self.messages: list[t.Any] = []
@@ -93,7 +104,7 @@
         self._count = count
 
     def add(self, message: t.Any) -> None:
-        """Take an answer; the reply leaves when all are there, or soon."""
+        """Add an answer; the reply is sent when all are present, or after a delay."""
         self.messages.append(message)
         if len(self.messages) >= self._count:
             self.done.set()
@@ -103,21 +114,21 @@
 
 
 class PeerTable:
-    """Sends messages to peers, many per call.
+    """Addresses of peers, and batched sending of messages to them.
 
     Parameters
     ----------
     process, address : str
         Id and address of this process, sent with each batch.
     receive : callable
-        Takes the sender's id and an envelope, and may return messages that go back
+        Called with the sender's id and an envelope; may return messages to send back
         with the reply to the call.
     failed : callable
-        Takes the peer's id, the envelope and the code of each message that was not
-        delivered (`PEER_UNREACHABLE`) or may have been (`PEER_TIMEOUT`).
+        Called with the peer's id, the envelope and the code of each message that was
+        not delivered (`PEER_UNREACHABLE`) or may have been (`PEER_TIMEOUT`).
     limit : int
-        Most messages in flight to one peer; more are refused at once, so that a slow
-        peer holds up nothing else.
+        Maximum number of messages queued or in flight to one peer; further ones fail
+        at once, so that a slow peer delays nothing else.
     """
 
     def __init__(
@@ -137,13 +148,13 @@
         self._limit = limit
         self._addresses: dict[str, str] = {}
         self._outboxes: dict[str, _Outbox] = {}
-        self._held: dict[str, deque[_Held]] = {}
+        self._held_replies: dict[str, deque[_HeldReply]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.sent_batches = 0
         self.sent_messages = 0
 
-    def learn(self, process: str, address: str) -> None:
-        """Note the address of a process."""
+    def set_address(self, process: str, address: str) -> None:
+        """Record the address of a process."""
         self._addresses[process] = address
 
     def address_of(self, process: str) -> str:
@@ -151,7 +162,11 @@
         return self._addresses.get(process, "")
 
     def send(self, process: str, envelope: Envelope) -> None:
-        """Queue a message for a peer; it leaves within 2 ms or with 256 messages."""
+        """Queue a message for a peer.
+
+        It is sent with those of the next `BATCH_WAIT_S` seconds, or later if
+        `CALLS_PER_PEER` calls are open.
+        """
         if process not in self._addresses:
             self._failed(process, envelope, Code.PEER_UNREACHABLE)
             return
@@ -160,26 +175,26 @@
             self._failed(process, envelope, Code.PEER_UNREACHABLE)
             return
         outbox.waiting.append(envelope)
-        if not outbox.gathering and outbox.calls < CALLS_PER_PEER:
+        if not outbox.batching and outbox.calls < CALLS_PER_PEER:
             outbox.calls += 1
             self._spawn(self._flush(process, outbox))
 
-    def reply(self, process: str, message: t.Any) -> bool:
-        """Send a message with the reply to a call of a peer that is being held."""
-        held = self._held.get(process)
+    def send_with_reply(self, process: str, message: t.Any) -> bool:
+        """Add a message to a held reply to a peer; return False if there is none."""
+        held = self._held_replies.get(process)
         if not held:
             return False
         held[0].add(message)
         return True
 
-    async def hold(self, process: str, count: int) -> list[t.Any]:
-        """Hold the reply to a call until its answers are there.
+    async def hold_reply(self, process: str, count: int) -> list[t.Any]:
+        """Hold the reply to a call back; return the messages to send with it.
 
-        It is held for the answers to `count` requests, for at most `HOLD_S`, and for
-        no longer than `BATCH_WAIT_S` after the first one.
+        It is held until there are answers to `count` requests, for at most `HOLD_S`,
+        and for at most `BATCH_WAIT_S` after the first answer.
         """
-        held = _Held(count)
-        calls = self._held.setdefault(process, deque())
+        held = _HeldReply(count)
+        calls = self._held_replies.setdefault(process, deque())
         calls.append(held)
         timer = asyncio.get_running_loop().call_later(HOLD_S, held.done.set)
         await held.done.wait()
@@ -193,29 +208,32 @@
         task.add_done_callback(self._tasks.discard)
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait until all messages have left, at most `timeout_s` seconds."""
+        """Wait until all queued messages are sent, for at most `timeout_s` seconds."""
         if self._tasks:
             await asyncio.wait(list(self._tasks), timeout=timeout_s)
 
     async def close(self) -> None:
-        """Give up what has not left."""
+        """Cancel the calls in progress; queued messages are dropped."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _flush(self, process: str, outbox: _Outbox) -> None:
-        """Gather messages for a call and send them; then those that have waited."""
+        """Collect messages for `BATCH_WAIT_S`, then send them, one batch per call.
+
+        It ends when the queue is empty or another task collects messages.
+        """
         try:
-            outbox.gathering = True
+            outbox.batching = True
             await asyncio.sleep(BATCH_WAIT_S)
-            outbox.gathering = False
+            outbox.batching = False
             while batch := outbox.take():
                 outbox.in_flight += len(batch)
                 try:
                     await self._send(process, batch)
                 finally:
                     outbox.in_flight -= len(batch)
-                if outbox.gathering:
+                if outbox.batching:
                     return
         finally:
             outbox.calls -= 1
@@ -223,17 +241,17 @@
     async def call(
         self, process: str, batch: t.Sequence[Envelope], timeout_s: float
     ) -> CallResult:
-        """Send messages at once, past those that wait, and take the replies."""
+        """Send messages at once, ahead of queued ones, and handle the replies."""
         address = self._addresses.get(process, "")
         url = f"http://{address}/peer/v1/batch"
         self.sent_batches += 1
         self.sent_messages += len(batch)
         try:
             reply = await self._client.post(
-                url, self._encoded(process, batch), timeout_s
+                url, self._batch_body(process, batch), timeout_s
             )
         except PoplaryardError as exc:
-            return _result_of(exc)
+            return _call_result(exc)
         if reply.status == Code.STALE_EPOCH.status:
             return CallResult.DEAD
         if reply.status != 200:
@@ -250,7 +268,9 @@
         for envelope in batch:
             self._failed(process, envelope, code)
 
-    def _encoded(self, process: str, batch: t.Sequence[Envelope]) -> dict[str, t.Any]:
+    def _batch_body(
+        self, process: str, batch: t.Sequence[Envelope]
+    ) -> dict[str, t.Any]:
         now = _clock.now()
         return {
             "from": self._process,
@@ -264,12 +284,15 @@
         for item in body.get("messages", ()) if isinstance(body, dict) else ():
             self.receive(process, _decode(item, now))
 
-    def is_me(self, process: str) -> bool:
-        """Return whether a batch is for this process and not for one before it."""
+    def is_addressee(self, process: str) -> bool:
+        """Return whether a batch is for this process, not for an earlier one here.
+
+        Senders that know no process id address the batch to the network address.
+        """
         return process in (self._process, self._address)
 
 
-def _result_of(exc: PoplaryardError) -> CallResult:
+def _call_result(exc: PoplaryardError) -> CallResult:
     if isinstance(exc.__cause__, ConnectionRefusedError):
         return CallResult.DEAD
     unsent = exc.code is Code.PEER_UNREACHABLE
@@ -277,7 +300,7 @@
 
 
 def peer_routes(peers: PeerTable, allowed: t.Callable[[Request], bool]) -> list[Route]:
-    """Return the route that takes batches.
+    """Return the route that receives batches.
 
     Parameters
     ----------
@@ -289,49 +312,49 @@
         if not allowed(request):
             return Response(status_code=Code.UNAUTHENTICATED.status)
         try:
-            found = await _read(request)
-            envelopes = _envelopes(found)
+            body = await _read_batch(request)
+            envelopes = _decode_batch(body)
         except (PoplaryardError, ValueError, KeyError, TypeError):
             return Response(status_code=Code.MALFORMED.status)
-        if not peers.is_me(found["to"]):
+        if not peers.is_addressee(body["to"]):
             return Response(status_code=Code.STALE_EPOCH.status)
-        peers.learn(found["from"], found["address"])
-        replies = _received(peers, found["from"], envelopes)
+        peers.set_address(body["from"], body["address"])
+        replies = _dispatch(peers, body["from"], envelopes)
         requests = sum(isinstance(item.message, Submit) for item in envelopes)
         if requests:
-            replies += await peers.hold(found["from"], requests)
-        return _reply(replies)
+            replies += await peers.hold_reply(body["from"], requests)
+        return _replies_response(replies)
 
     return [Route("/peer/v1/batch", batch, methods=["POST"])]
 
 
-def _received(peers: PeerTable, sender: str, envelopes: list[Envelope]) -> list[t.Any]:
-    """Take the messages of a batch; return what goes back at once."""
+def _dispatch(peers: PeerTable, sender: str, envelopes: list[Envelope]) -> list[t.Any]:
+    """Handle the messages of a batch; return the immediate replies."""
     return [msg for item in envelopes for msg in peers.receive(sender, item) or ()]
 
 
-def _reply(messages: list[t.Any]) -> Response:
+def _replies_response(messages: list[t.Any]) -> Response:
     now = _clock.now()
     body = {"messages": [wire.encode(msg, now) for msg in messages]} if messages else {}
     data = json.dumps(body, separators=(",", ":")).encode()
     return Response(data, media_type="application/json")
 
 
-async def _read(request: Request) -> dict[str, t.Any]:
+async def _read_batch(request: Request) -> dict[str, t.Any]:
     data = bytearray()
     async for chunk in request.stream():
         data += chunk
         if len(data) > BATCH_BYTES_LIMIT:
             raise PoplaryardError(Code.TOO_LARGE)
-    found = json.loads(data)
-    if not all(isinstance(found[key], str) for key in ("from", "address", "to")):
+    body = json.loads(data)
+    if not all(isinstance(body[key], str) for key in ("from", "address", "to")):
         raise PoplaryardError(Code.INVALID)
-    return found
+    return body
 
 
-def _envelopes(found: dict[str, t.Any]) -> list[Envelope]:
+def _decode_batch(body: dict[str, t.Any]) -> list[Envelope]:
     now = _clock.now()
-    return [_decode(item, now) for item in found["messages"]]
+    return [_decode(item, now) for item in body["messages"]]
 
 
 def _encode(envelope: Envelope, now: float) -> dict[str, t.Any]:
--- a/tests/test_centres.py
+++ b/tests/test_centres.py
@@ -21,7 +21,7 @@
             listed, self, self.clock, lambda: self.changes.append(1)
         )
 
-    def learn(self, process, address):
+    def set_address(self, process, address):
         self.learned[process] = address
 
     async def call(self, address, batch, timeout_s):
--- a/tests/test_ownership_io.py
+++ b/tests/test_ownership_io.py
@@ -36,7 +36,7 @@
 
     result = CallResult.DELIVERED
 
-    def learn(self, process, address):
+    def set_address(self, process, address):
         pass
 
     async def call(self, process, batch, timeout_s):
@@ -70,7 +70,7 @@
             lambda: None,
         )
         for command in commands:
-            self.task._carry_out(command)
+            self.task._execute(command)
             await asyncio.gather(*self.task._tasks)
 
     def _record(self, now, message):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -58,7 +58,7 @@
             one, two = Peer("one#1", **options), Peer("two#1", **options)
             await one.server.start()
             await two.server.start()
-            one.table.learn("two#1", two.address)
+            one.table.set_address("two#1", two.address)
             try:
                 await scenario(one, two)
             finally:
@@ -109,8 +109,8 @@
         """Guards against a promise broken because a slow peer was taken for dead."""
 
         async def scenario(one, two):
-            one.table.learn("gone#1", f"127.0.0.1:{free_ports(1)[0]}")
-            one.table.learn("two#0", two.address)
+            one.table.set_address("gone#1", f"127.0.0.1:{free_ports(1)[0]}")
+            one.table.set_address("two#0", two.address)
             batch = [Envelope(Cancel("r"))]
             for name in ("gone#1", "two#0"):
                 found = await one.table.call(name, batch, 5.0)
