--- a/src/poplaryard/__init__.py
+++ b/src/poplaryard/__init__.py
@@ -1,4 +1,4 @@
-"""Cluster scheduler for unlike workloads on one shared set of VMs."""
+"""Cluster scheduler for mixed workloads on one shared set of VMs."""
 
 from .clock import Clock, SystemClock, VirtualClock
 from .codes import Code
--- a/src/poplaryard/api.py
+++ b/src/poplaryard/api.py
@@ -1,4 +1,4 @@
-"""Routes for callers: validation, keys and answers."""
+"""HTTP routes for callers: authentication, validation and responses."""
 
 import asyncio
 import dataclasses
@@ -45,7 +45,7 @@
 
 
 class _Need(_Model):
-    """Size of one task."""
+    """Resources that one task needs."""
 
     cpu_m: Amount = 0
     mem_mb: Amount = 0
@@ -83,7 +83,7 @@
 
 
 class ApiContext(t.Protocol):
-    """What the routes need from the application.
+    """Interface of the application to the caller routes.
 
     Attributes
     ----------
@@ -100,37 +100,40 @@
         """Return whether a request carries a caller's key."""
 
     def refusal(self) -> Code | None:
-        """Return why no requests are taken at the moment, or None."""
+        """Return the code with which all requests are refused now, or None."""
 
     def defaults(self, work: Work, timeout_s: float | None) -> tuple[Work, float]:
         """Return work with the defaults of its class, and its timeout in seconds."""
 
     def submit(self, work: Work, digest: str) -> "asyncio.Future[Answer] | Answer":
-        """Take a request; return its answer or a future of it."""
+        """Submit a request; return its answer or a future of it.
+
+        `digest` is a hash of the body, by which a repeated request is recognized.
+        """
 
     def record_answer(self, answer: Answer, seconds: float) -> None:
-        """Count an answer given after `seconds`."""
+        """Record an answer that took `seconds`."""
 
     async def find(self, request_id: str) -> "asyncio.Future[Answer] | Answer | None":
         """Return a request's answer or a future of it; None if it is not known."""
 
     async def cancel(self, request_id: str) -> bool:
-        """Cancel a request; False if it is not known."""
+        """Cancel a request; return False if it is not known."""
 
     async def explain(self, request_id: str) -> str:
-        """Return one sentence that says where a request stands."""
+        """Return one sentence that describes the state of a request."""
 
 
 def api_routes(context: ApiContext) -> list[Route]:
     """Return the routes for callers."""
     api = _Api(context)
     return [
-        Route("/v1/requests", api.guarded(api.post_request), methods=["POST"]),
-        Route("/v1/jobs", api.guarded(api.post_job), methods=["POST"]),
-        Route("/v1/requests/{id}", api.guarded(api.get), methods=["GET"]),
-        Route("/v1/requests/{id}", api.guarded(api.delete), methods=["DELETE"]),
-        Route("/v1/requests/{id}/wait", api.guarded(api.wait), methods=["GET"]),
-        Route("/v1/explain/{id}", api.guarded(api.explain), methods=["GET"]),
+        Route("/v1/requests", api.authenticated(api.post_request), methods=["POST"]),
+        Route("/v1/jobs", api.authenticated(api.post_job), methods=["POST"]),
+        Route("/v1/requests/{id}", api.authenticated(api.get), methods=["GET"]),
+        Route("/v1/requests/{id}", api.authenticated(api.delete), methods=["DELETE"]),
+        Route("/v1/requests/{id}/wait", api.authenticated(api.wait), methods=["GET"]),
+        Route("/v1/explain/{id}", api.authenticated(api.explain), methods=["GET"]),
     ]
 
 
@@ -141,8 +144,8 @@
     def __init__(self, context: ApiContext):
         self._context = context
 
-    def guarded(self, handler: Handler) -> Handler:
-        """Return the handler behind the key check, with errors as responses."""
+    def authenticated(self, handler: Handler) -> Handler:
+        """Wrap a handler in the key check and turn its errors into responses."""
 
         async def call(request: Request) -> Response:
             if not self._context.caller_allowed(request):
@@ -156,33 +159,33 @@
 
     async def post_request(self, request: Request) -> Response:
         data = await self._body(request)
-        found = _validated(_RequestBody, self._parsed(data))
-        work = dataclasses.replace(self._work(found), target=found.target)
-        return await self._submit(work, found.wait, data)
+        body = _validated(_RequestBody, self._parsed(data))
+        work = dataclasses.replace(self._to_work(body), target=body.target)
+        return await self._submit(work, body.wait, data)
 
     async def post_job(self, request: Request) -> Response:
         data = await self._body(request)
-        found = _validated(_JobBody, self._parsed(data))
-        need = Resources(found.need.cpu_m, found.need.mem_mb, found.need.gpus)
+        body = _validated(_JobBody, self._parsed(data))
+        need = Resources(body.need.cpu_m, body.need.mem_mb, body.need.gpus)
         work = dataclasses.replace(
-            self._work(found),
-            kind=WorkKind(found.kind),
-            group=found.group,
-            tasks=found.tasks,
+            self._to_work(body),
+            kind=WorkKind(body.kind),
+            group=body.group,
+            tasks=body.tasks,
             need=need,
-            declared_s=found.declared_s,
-            checkpointable=found.checkpointable,
+            declared_s=body.declared_s,
+            checkpointable=body.checkpointable,
         )
-        return await self._submit(work, found.wait, data)
+        return await self._submit(work, body.wait, data)
 
     async def get(self, request: Request) -> Response:
-        found = await self._found(request)
+        found = await self._lookup(request)
         if isinstance(found, Answer):
             return answer_response(found)
         return _state_response(request.path_params["id"], Code.ACCEPTED)
 
     async def wait(self, request: Request) -> Response:
-        found = await self._found(request)
+        found = await self._lookup(request)
         if isinstance(found, Answer):
             return answer_response(found)
         done, _ = await asyncio.wait([found], timeout=WAIT_LIMIT_S)
@@ -201,7 +204,7 @@
         sentence = await self._context.explain(request_id)
         return _json_response({"id": request_id, "explanation": sentence})
 
-    async def _found(self, request: Request) -> "asyncio.Future[Answer] | Answer":
+    async def _lookup(self, request: Request) -> "asyncio.Future[Answer] | Answer":
         found = await self._context.find(request.path_params["id"])
         if found is None:
             raise CallError(Code.NOT_FOUND)
@@ -218,23 +221,23 @@
         if not isinstance(found, Answer) and not wait:
             return _state_response(work.request_id, Code.ACCEPTED)
         if not isinstance(found, Answer):
-            # Shielded: the request goes on when its caller disconnects.
+            # Shielded, so that the request continues when its caller disconnects.
             found = await asyncio.shield(found)
         self._context.record_answer(found, _clock.now() - received)
         return answer_response(found)
 
-    def _work(self, found: _Common) -> Work:
+    def _to_work(self, body: _Common) -> Work:
         work = Work(
-            request_id=found.id,
-            team=found.team,
-            job_class=found.job_class or "default",
-            idempotent=found.idempotent is not False,
-            exclusive_key=found.exclusive_key,
-            issued_at=found.issued_at,
-            priority=_PRIORITIES[found.priority],
-            payload=found.payload,
+            request_id=body.id,
+            team=body.team,
+            job_class=body.job_class or "default",
+            idempotent=body.idempotent is not False,
+            exclusive_key=body.exclusive_key,
+            issued_at=body.issued_at,
+            priority=_PRIORITIES[body.priority],
+            payload=body.payload,
         )
-        work, timeout_s = self._context.defaults(work, found.timeout_s)
+        work, timeout_s = self._context.defaults(work, body.timeout_s)
         if not work.idempotent and not work.issued_at:
             detail = 'Work that is not idempotent needs its issue time in "issued_at".'
             raise CallError(Code.INVALID, detail)
@@ -248,7 +251,7 @@
 
 
 async def read_body(request: Request, limit: int) -> bytes:
-    """Return a request's body; raises `CallError` if it is larger than `limit`."""
+    """Return a request's body; raise `CallError` if it exceeds `limit` bytes."""
     declared = request.headers.get("content-length", "")
     if declared.isdecimal() and int(declared) > limit:
         raise CallError(Code.TOO_LARGE)
@@ -261,9 +264,17 @@
 
 
 def read_json(data: bytes, depth_limit: int) -> t.Any:
-    """Return the value of strict JSON; raises `CallError` if it is invalid."""
+    """Return the value of a JSON text.
+
+    Raises
+    ------
+    CallError
+        If it is not valid JSON, has a non-finite number or is nested too deeply.
+    """
     try:
-        found = json.loads(data, parse_constant=_refuse_constant, parse_float=_finite)
+        found = json.loads(
+            data, parse_constant=_reject_constant, parse_float=_parse_finite
+        )
     except (ValueError, RecursionError) as exc:
         if isinstance(exc, RecursionError):
             raise CallError(Code.TOO_DEEP) from exc
@@ -273,20 +284,20 @@
     return found
 
 
-def _check_depth(value: t.Any, left: int) -> None:
+def _check_depth(value: t.Any, levels_left: int) -> None:
     if not isinstance(value, dict | list):
         return
-    if left == 0:
+    if levels_left == 0:
         raise CallError(Code.TOO_DEEP)
     for item in value.values() if isinstance(value, dict) else value:
-        _check_depth(item, left - 1)
+        _check_depth(item, levels_left - 1)
 
 
-def _refuse_constant(text: str) -> t.NoReturn:
+def _reject_constant(text: str) -> t.NoReturn:
     raise CallError(Code.NON_FINITE, f"The number {text} is not finite.")
 
 
-def _finite(text: str) -> float:
+def _parse_finite(text: str) -> float:
     value = float(text)
     if math.isinf(value):
         raise CallError(Code.NON_FINITE, f"The number {text[:40]} is not finite.")
@@ -308,9 +319,10 @@
 
 
 def bearer_allowed(request: Request, keys: t.Iterable[str]) -> bool:
-    """Return whether a request carries one of the keys, in time that tells nothing.
+    """Return whether a request carries one of the keys as its bearer token.
 
-    Every key is compared, so that the time does not depend on which one matches.
+    All keys are compared, each in constant time, so that the time taken shows neither
+    a partial match nor which key matches.
     """
     given = request.headers.get("authorization", "").removeprefix("Bearer ").encode()
     matches = [hmac.compare_digest(given, key.encode()) for key in keys]
@@ -318,7 +330,7 @@
 
 
 def error_response(code: Code, detail: str = "") -> Response:
-    """Return the response of a refused call."""
+    """Return the response to a refused call."""
     body = {
         "code": int(code),
         "outcome": code.outcome,
@@ -329,7 +341,7 @@
 
 
 def answer_response(answer: Answer) -> Response:
-    """Return the response that gives a whole answer."""
+    """Return the response that carries the answer to a request."""
     body: dict[str, t.Any] = {
         "id": answer.request_id,
         "code": int(answer.code),
--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -1,4 +1,4 @@
-"""The application: settings, life-cycle hooks, tasks and routes of one process."""
+"""Application of an entry process: components, tasks, lifecycle hooks and routes."""
 
 import asyncio
 import random
@@ -43,22 +43,17 @@
 PEER_CONNECTIONS = 256
 WORKER_CONNECTIONS = 1024
 STORE_CONNECTIONS = 32
-# Time for which a process that stops still takes requests, until the platform's load
-# balancer has seen that it is no longer ready.
+# Time for which a stopping process still accepts requests, so that the platform's load
+# balancer can see that it is no longer ready.
 NOT_READY_S = 1.0
-# Time given to the hand-over; a store that is down must not hold up a planned stop.
+# Timeout of the hand-over; a store that is down must not block a planned stop.
 LEAVE_S = 5.0
 
 Hook: t.TypeAlias = t.Callable[[], t.Awaitable[None]]
 
 
 class Application:
-    """One entry process.
-
-    Parameters
-    ----------
-    settings : Settings
-    """
+    """An entry process: its components, and hooks that run when it starts and stops."""
 
     def __init__(self, settings: Settings, clock: Clock | None = None):
         self.settings = settings
@@ -75,7 +70,7 @@
             HttpClient(STORE_CONNECTIONS),
         )
         self.exchange = Exchange(self)
-        self._make_parts()
+        self._create_components()
         logs.configure(self.process, settings.log_level, self.ticket)
         self.monitor = Monitor(self)
         self.desk = self._new_desk()
@@ -90,15 +85,15 @@
         self.on_stop(self._hand_over)
 
     def on_start(self, hook: Hook) -> None:
-        """Add a call that runs when the process listens; the first added runs first."""
+        """Add a hook that runs once the process listens; the first added runs first."""
         self._starts.append(hook)
 
     def on_stop(self, hook: Hook) -> None:
-        """Add a call that runs when the process stops; the last added runs first."""
+        """Add a hook that runs when the process stops; the last added runs first."""
         self._stops.append(hook)
 
     async def start(self) -> None:
-        """Listen, then run the start hooks in order."""
+        """Start to listen, then run the start hooks in order."""
         await self._server.start()
         for hook in self._starts:
             await hook()
@@ -106,7 +101,7 @@
         logger.info("started", extra={"address": self.address})
 
     async def stop(self) -> None:
-        """Hand over, finish the requests in progress, and close everything."""
+        """Run the stop hooks: hand over, finish open requests, close everything."""
         self.state = "stopping"
         logger.info("stopping", extra={"left": self.unfinished_work()})
         for hook in reversed(self._stops):
@@ -115,13 +110,13 @@
         logger.info("stopped")
 
     def unfinished_work(self) -> str:
-        """Return what would be lost if the process ended now."""
+        """Return a text that counts what would be lost if the process ended now."""
         open_requests = self.dispatcher.entry.open_requests
         shards = len(self.dispatcher.shards)
         return f"{open_requests} open requests and {shards} shards"
 
     def refusal(self) -> Code | None:
-        """Return why no requests are taken at the moment, or None."""
+        """Return the code with which all requests are refused now, or None."""
         if self.state in ("draining", "stopped"):
             return Code.SHUTTING_DOWN
         return None if self.config_task.rollout.ready else Code.NOT_READY
@@ -143,9 +138,9 @@
             "poplaryard_audit_lost_total": self.audit_log.lost,
         }
 
-    # Parts
+    # Components
 
-    def _make_parts(self) -> None:
+    def _create_components(self) -> None:
         peer_client, worker_client, store_client = self._clients
         limits = self.settings.limits
         self.store = HttpStore(store_client, self.settings.platform)
@@ -179,9 +174,9 @@
             self.clock,
             self.dispatcher.entry.owners_changed,
         )
-        self._make_tasks()
+        self._create_tasks()
 
-    def _make_tasks(self) -> None:
+    def _create_tasks(self) -> None:
         data_centre = self.settings.data_centre
         ownership = Ownership(self.process, self.address, random.Random())
         self.ownership_task = OwnershipTask(
@@ -219,7 +214,7 @@
             lambda: (self.process,) == self.config_task.rollout.watchers[:1],
         )
 
-    # Life cycle
+    # Lifecycle
 
     async def _start_tasks(self) -> None:
         for addresses in self.listed_peers.values():
@@ -234,15 +229,15 @@
         self.upkeep.start()
 
     async def _hand_over(self) -> None:
-        """Leave the data centre's record, then wait for the open requests."""
-        until = self.clock.now() + self.settings.limits.shutdown_s
+        """Hand over the shards and the lease, then wait for the open requests."""
+        deadline = self.clock.now() + self.settings.limits.shutdown_s
         await asyncio.sleep(NOT_READY_S)
         self.state = "draining"
         await self.ownership_task.leave(LEAVE_S)
-        await self.dispatcher.entry.wait_until_answered(until - self.clock.now())
-        # Shards that could not be handed over still serve requests of other entries.
-        await self.dispatcher.wait_until_idle(until - self.clock.now())
-        await self.peers.drain(max(0.0, until - self.clock.now()))
+        await self.dispatcher.entry.wait_until_answered(deadline - self.clock.now())
+        # Shards that could not be handed over still serve requests of other processes.
+        await self.dispatcher.wait_until_idle(deadline - self.clock.now())
+        await self.peers.drain(max(0.0, deadline - self.clock.now()))
         await self._server.stop()
 
     async def _stop_tasks(self) -> None:
@@ -290,14 +285,16 @@
             self.config_task.handle,
             self.audit_log,
             self.audit_writer,
-            self._facts,
+            self._status_fields,
         )
 
-    def _facts(self) -> dict[str, t.Any]:
-        """Return what the status screen shows besides the rollout."""
+    def _status_fields(self) -> dict[str, t.Any]:
+        """Return the fields of the status that do not come from the rollout."""
         record = self.ownership_task.ownership.record
         local = self.dispatcher.local_shards()
-        shown = [task.scheduler.snapshot() for task in self.dispatcher.shards.values()]
+        snapshots = [
+            task.scheduler.snapshot() for task in self.dispatcher.shards.values()
+        ]
         return {
             "suspected": self.ownership_task.ownership.membership.suspects(),
             "ownerless": tuple(
@@ -305,8 +302,8 @@
                 for shard in local
                 if shard not in record.shards or not record.shards[shard].owner
             ),
-            "vms": sum(item.vms for item in shown),
-            "queued": sum(item.queued for item in shown),
+            "vms": sum(item.vms for item in snapshots),
+            "queued": sum(item.queued for item in snapshots),
         }
 
     def _peer_allowed(self, request: Request) -> bool:
--- a/src/poplaryard/cli.py
+++ b/src/poplaryard/cli.py
@@ -1,4 +1,4 @@
-"""Command line; each command's module is imported only when it is called."""
+"""Command line; the module of a command is imported only when the command is run."""
 
 import importlib
 
@@ -42,4 +42,4 @@
 @click.command(cls=_LazyGroup)
 @click.version_option(package_name="poplaryard")
 def main() -> None:
-    """Schedule unlike workloads on shared VMs."""
+    """Schedule mixed workloads on shared VMs."""
--- a/src/poplaryard/retention.py
+++ b/src/poplaryard/retention.py
@@ -1,4 +1,4 @@
-"""Store leases that end the life of old records without further writes."""
+"""Store leases whose end deletes old records, so that no deletes are written."""
 
 from .clock import Clock
 from .store import Store
@@ -9,10 +9,13 @@
 class RetentionLease:
     """Lease for records that the store deletes after a retention time.
 
+    A lease is used for `span_s` seconds, then a new one is granted. The store deletes
+    the records of a lease when it lapses.
+
     Parameters
     ----------
     keep_s : float
-        Least time for which a record is kept, in seconds.
+        Minimum time for which a record is kept, in seconds.
     span_s : float
         Time for which new records share one lease, in seconds.
     """
@@ -40,5 +43,5 @@
         return self._lease
 
     def forget(self) -> None:
-        """Take a new lease for the next record, as this one may have lapsed."""
+        """Discard the cached lease, which may have lapsed."""
         self._until = float("-inf")
--- a/src/poplaryard/serve.py
+++ b/src/poplaryard/serve.py
@@ -1,4 +1,4 @@
-"""Command that runs one entry process until it is told to stop."""
+"""Command that runs one entry process until a signal stops it."""
 
 import asyncio
 import gc
@@ -15,8 +15,9 @@
 __all__ = ["StopSignal", "serve"]
 
 EXIT_FORCED = 1
-# Allocations between two runs of the collector. The default of 700 walks the ledgers
-# and answers, tens of thousands of objects, many times per second under load.
+# Allocations between two runs of the garbage collector. With the default of 700, it
+# would traverse the ledgers and answers, tens of thousands of objects, many times per
+# second under load.
 COLLECT_AFTER = 50_000
 
 
@@ -26,23 +27,23 @@
     Parameters
     ----------
     unfinished_work : callable
-        Returns what is lost if the process ends now.
+        Returns a text that counts what is lost if the process ends now.
     """
 
     def __init__(self, unfinished_work: t.Callable[[], str]):
         self._unfinished_work = unfinished_work
-        self._asked = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
     async def wait(self) -> None:
-        """Return when the process is told to stop."""
+        """Wait until the first signal arrives."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._signalled)
-        await self._asked.wait()
+        await self._stop_requested.wait()
 
     def _signalled(self) -> None:
-        if not self._asked.is_set():
-            self._asked.set()
+        if not self._stop_requested.is_set():
+            self._stop_requested.set()
             return
         click.echo(f"stopped at once, left: {self._unfinished_work()}", err=True)
         sys.stderr.flush()
@@ -50,7 +51,7 @@
 
 
 def _tune_collector() -> None:
-    """Leave what was loaded at start to itself, and collect less often."""
+    """Exclude the objects that exist now from garbage collection; run it less often."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(COLLECT_AFTER, 20, 20)
--- a/src/poplaryard/upkeep.py
+++ b/src/poplaryard/upkeep.py
@@ -1,4 +1,4 @@
-"""Periodic store work that nothing waits for: audit groups and snapshots."""
+"""Periodic background writes to the store: audit events and snapshots."""
 
 import asyncio
 import typing as t
@@ -15,23 +15,23 @@
 
 
 class UpkeepTask:
-    """Flushes the audit log, and writes snapshots in one process per data centre.
+    """Flushes the audit log, and writes snapshots if this process is chosen for them.
 
     Parameters
     ----------
-    compacts : callable
-        Returns whether this process is the one that writes snapshots.
+    writes_snapshots : callable
+        Returns whether this process writes the snapshots of its data centre.
     """
 
     def __init__(
         self,
         writer: AuditWriter,
         compactor: Compactor,
-        compacts: t.Callable[[], bool],
+        writes_snapshots: t.Callable[[], bool],
     ):
         self._writer = writer
         self._compactor = compactor
-        self._compacts = compacts
+        self._writes_snapshots = writes_snapshots
         self._tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
@@ -42,7 +42,7 @@
         ]
 
     async def stop(self) -> None:
-        """End the tasks after a last flush."""
+        """Stop the tasks, then flush the audit log a last time."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -56,7 +56,7 @@
     async def _compact(self) -> None:
         while True:
             await asyncio.sleep(SNAPSHOT_PERIOD_S)
-            if not self._compacts():
+            if not self._writes_snapshots():
                 continue
             try:
                 await self._compactor.run()
