--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -202,13 +202,13 @@
             return
         entry.next_task = job.work.tasks - len(job.pending)
         self._queues.push(now, entry)
-        self._state.quotas.waits(job.work.team)
+        self._state.quotas.add_waiting(job.work.team)
         if entry.lane not in self._blocked:
             self._retry_pass = True
 
     def _remove(self, now: float, job: Job) -> None:
         if self._queues.remove(job.request_id, now) is not None:
-            self._state.quotas.left(job.work.team)
+            self._state.quotas.remove_waiting(job.work.team)
 
     def _started_at_once(self, now: float, job: Job) -> bool:
         """Start a job past an empty queue, or as backfill before a gang."""
@@ -374,7 +374,7 @@
         """Start the tasks whose held room has become free."""
         for job in self.gangs.ready(now):
             if self._must_wait(job):
-                self._state.unhold_all(job)
+                self._state.release_holds(job)
                 self._gang_back(job)
             else:
                 self._starter.start_all_held(now, job)
@@ -382,7 +382,7 @@
             for task, name in list(job.held.items()):
                 vm = self._state.fleet.vms.get(name)
                 if vm is None or not vm.usable:
-                    self._state.unhold(job, task)
+                    self._state.release_hold(job, task)
                 elif not vm.overcommitted and not self._must_wait(job):
                     self._starter.start_held(now, job, task)
             if not job.held:
--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -74,7 +74,7 @@
         state.room_freed = True
         if risen:
             state.owned_since = now
-            state.unseen = set(state.fleet.vms)
+            state.awaiting_first_claim = set(state.fleet.vms)
             for vm in state.fleet.vms.values():
                 self._claim(now, vm)
 
@@ -109,8 +109,8 @@
         if back or not known:
             # The VMs of a new term may be named after its authority.
             state = self._state
-            if state.unseen or now < state.owned_since + CLAIMS_WAIT_S:
-                state.unseen.add(vm.name)
+            if state.awaiting_first_claim or now < state.owned_since + CLAIMS_WAIT_S:
+                state.awaiting_first_claim.add(vm.name)
             self._claim(now, vm)
         self._note_leaving(now, vm)
 
@@ -162,8 +162,8 @@
         outdated = _outdated(now, vm, msg)
         if not outdated:
             vm.clock_ms, vm.clock_at = msg.clock_ms, now
-        if msg.leaving or (vm.says_leaving and not outdated):
-            vm.says_leaving = msg.leaving
+        if msg.leaving or (vm.reported_leaving and not outdated):
+            vm.reported_leaving = msg.leaving
             self._note_leaving(now, vm)
         for report in msg.attempts:
             # That an attempt has ended stays true; that it runs may not.
@@ -223,7 +223,7 @@
         state = self._state
         vm.claimed = True
         vm.lost_at = float("inf")
-        state.unseen.discard(vm.name)
+        state.awaiting_first_claim.discard(vm.name)
         vm.clock_ms, vm.clock_at = msg.clock_ms, now
         self._unclaimed.pop(vm.name, None)
         self._doubtful.pop(vm.name, None)
@@ -237,10 +237,10 @@
             self._results.lost(now, attempt)
         if missing.in_doubt:
             self._doubtful[vm.name] = vm
-        vm.says_leaving = msg.leaving
+        vm.reported_leaving = msg.leaving
         self._note_leaving(now, vm)
         state.room_freed = True
-        if not state.unseen:
+        if not state.awaiting_first_claim:
             # Until then each reconciliation would see only a part of the replicas.
             for pool in state.pools.values():
                 pool.changed = True
@@ -285,9 +285,9 @@
             self._state.room_freed = True
 
     def _note_leaving(self, now: float, vm: Vm) -> None:
-        leaving = vm.listed_leaving or vm.says_leaving
+        leaving = vm.listed_leaving or vm.reported_leaving
         if leaving and not vm.leaving:
-            self._state.note_vm("leaving", vm.name)
+            self._state.audit_vm("leaving", vm.name)
         vm.leaving = leaving
         self._state.fleet.refresh(vm)
         if vm.leaving:
@@ -305,7 +305,7 @@
                 self._claim(now, vm)
         elif not vm.charges:
             self._state.fleet.remove(vm.name)
-            self._state.unseen.discard(vm.name)
+            self._state.awaiting_first_claim.discard(vm.name)
             self._health.forget(vm.name)
             del self._unclaimed[vm.name]
             self._gone.discard(vm.name)
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -66,7 +66,7 @@
 
     def leaves(self, now: float, vm: Vm) -> None:
         """Replace the replicas on a VM that leaves."""
-        close_at = now if vm.says_leaving else now + CLOSE_AFTER_S
+        close_at = now if vm.reported_leaving else now + CLOSE_AFTER_S
         for pool in self._state.pools.values():
             pool.retire(vm.name, close_at)
 
@@ -111,8 +111,10 @@
         if now >= self._state.owned_since + CLAIMS_WAIT_S:
             return True
         vms = self._state.fleet.vms
-        unseen = (vms[name] for name in self._state.unseen if name in vms)
-        return all(vm.lost_at <= now for vm in unseen)
+        unclaimed = (
+            vms[name] for name in self._state.awaiting_first_claim if name in vms
+        )
+        return all(vm.lost_at <= now for vm in unclaimed)
 
     def _start_held(self, now: float, pool: ReplicaPool, missing: int) -> int:
         """Start replicas whose room has become free; return how many have room held."""
@@ -122,9 +124,9 @@
         for task, name in list(job.held.items()):
             vm = self._state.fleet.vms.get(name)
             if vm is None or not vm.usable or len(job.held) > missing:
-                self._state.unhold(job, task)
+                self._state.release_hold(job, task)
             elif not vm.overcommitted:
-                amount = self._state.unhold(job, task)
+                amount = self._state.release_hold(job, task)
                 self._state.start(now, Start(vm, _work_of(pool.spec), 0, amount))
                 missing -= 1
         return len(job.held)
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -57,7 +57,7 @@
     ----------
     takeover : Takeover or None
         Progress of the take-over that began the present epoch, if it is known.
-    unseen : set of str
+    awaiting_first_claim : set of str
         VMs that have not been claimed since the present epoch began.
     out : list of Message
         Messages of the present call.
@@ -80,7 +80,7 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     quotas: Quotas = field(default_factory=Quotas)
     takeover: Takeover | None = None
-    unseen: set[str] = field(default_factory=set)
+    awaiting_first_claim: set[str] = field(default_factory=set)
     out: list[Message] = field(default_factory=list)
     room_freed: bool = False
     owned_since: float = float("-inf")
@@ -100,7 +100,7 @@
         """
         if self.takeover is not None:
             return self.authority.exclusive and self.takeover.serves_exclusive()
-        known = bool(self.fleet.vms) and not self.unseen
+        known = bool(self.fleet.vms) and not self.awaiting_first_claim
         return self.authority.exclusive and known
 
     def all_known(self, now: float, wall: float, work: Work) -> bool:
@@ -114,7 +114,7 @@
             return True
         if self.takeover is not None:
             return self.takeover.state == "complete"
-        return not self.unseen
+        return not self.awaiting_first_claim
 
     def may_run_unknown(self, issued_at: float) -> bool:
         """Tell whether a non-idempotent id that no worker reports has never run."""
@@ -145,15 +145,15 @@
                 executor=start.executor,
             )
         )
-        self.note("placed", attempt)
+        self.audit_attempt("placed", attempt)
         return attempt
 
-    def note(self, action: str, attempt: Attempt, cause: str = "") -> None:
+    def audit_attempt(self, action: str, attempt: Attempt, cause: str = "") -> None:
         """Record what happens to a task; single requests are too many for the trail."""
         if attempt.work.kind is not WorkKind.REQUEST:
-            self.note_vm(action, attempt.vm, cause, attempt.work.request_id)
+            self.audit_vm(action, attempt.vm, cause, attempt.work.request_id)
 
-    def note_vm(
+    def audit_vm(
         self, action: str, vm: str, cause: str = "", request_id: str = ""
     ) -> None:
         """Record what happens to a VM."""
@@ -166,7 +166,7 @@
         attempt.stop_mode = mode
         epoch = self.authority.epoch
         self.out.append(StopAttempt(attempt.vm, attempt.attempt_id, epoch, mode))
-        self.note(mode.value, attempt)
+        self.audit_attempt(mode.value, attempt)
 
     def end(self, now: float, attempt: Attempt) -> Job | None:
         """Release all that an ended attempt held; return its job if it is open."""
@@ -183,27 +183,27 @@
         self.fleet.hold(vm, _hold_id(job, task), amount)
         job.held[task] = vm.name
 
-    def unhold(self, job: Job, task: int) -> Resources:
+    def release_hold(self, job: Job, task: int) -> Resources:
         """Give up the room kept for one task of a job and return its amount."""
         vm = job.held.pop(task)
         self.room_freed = True
-        return self.fleet.unhold(vm, _hold_id(job, task))
+        return self.fleet.release_hold(vm, _hold_id(job, task))
 
-    def unhold_all(self, job: Job) -> None:
+    def release_holds(self, job: Job) -> None:
         """Give up the room kept for a job."""
         for task in list(job.held):
-            self.unhold(job, task)
+            self.release_hold(job, task)
 
-    def withdraw(self, job: Job, task: int) -> None:
+    def drop_pending(self, job: Job, task: int) -> None:
         """Start a task no more, since an attempt of it is known."""
         if task in job.pending:
             job.pending.remove(task)
         if task in job.held:
-            self.unhold(job, task)
+            self.release_hold(job, task)
 
     def close(self, now: float, job: Job) -> None:
         """Give up the room and the place in the queue of a job that starts no more."""
-        self.unhold_all(job)
+        self.release_holds(job)
         self.on_close(now, job)
 
     def add_job(self, job: Job) -> None:
