--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -26,7 +26,7 @@
     Work,
     WorkerUnreachable,
 )
-from .outcome import Known, Ledger
+from .outcome import Ledger, RequestStatus
 from .ownership import LEASE_TTL_S
 from .resources import ZERO, Resources
 from .takeover import CLAIM_RETRY_S, Takeover, VmListRead
@@ -125,20 +125,20 @@
             message.wall,
             work,
             attempt=message.attempt,
-            may_run_unknown=work.idempotent or self._may_run_unknown(issued),
+            may_run_unreported=work.idempotent or self._may_run_unreported(issued),
         )
-        if known.known is Known.ANSWERED and known.answer is not None:
+        if known.status is RequestStatus.ANSWERED and known.answer is not None:
             return [replace(known.answer, reply_to=message.reply_to)]
-        if known.known is Known.REFUSED and known.code is not None:
+        if known.status is RequestStatus.REFUSED and known.code is not None:
             return [_refusal(message, known.code)]
         self._wait(message)
         return []
 
-    def _may_run_unknown(self, issued_at: float) -> bool:
+    def _may_run_unreported(self, issued_at: float) -> bool:
         if not self._takeover.serves_exclusive():
             # Decided when it would be started.
             return True
-        return self._takeover.may_run_unknown(issued_at)
+        return self._takeover.may_run_unreported(issued_at)
 
     def _wait(self, message: Submit) -> None:
         waiting = self._requests.get(message.work.request_id)
@@ -298,9 +298,9 @@
             return []
         if not self._may_serve(work):
             return []
-        fresh = work.idempotent or self._takeover.may_run_unknown(work.issued_at)
+        fresh = work.idempotent or self._takeover.may_run_unreported(work.issued_at)
         if not fresh:
-            return self._answered(self.ledger.doubt(now, request_id))
+            return self._answered(self.ledger.mark_uncertain(now, request_id))
         out: list[t.Any] = []
         for task in self.ledger.open_tasks(request_id):
             out += self._start(now, work, task)
--- a/src/poplaryard/serve.py
+++ b/src/poplaryard/serve.py
@@ -1,4 +1,4 @@
-"""Command that runs one entry process until it is told to stop."""
+"""Command that runs one entry process until a signal stops it."""
 
 import asyncio
 import gc
@@ -12,45 +12,46 @@
 from .app import Application
 from .settings import settings_or_exit
 
-__all__ = ["Stop", "serve"]
+__all__ = ["StopSignal", "serve"]
 
 EXIT_FORCED = 1
-# Allocations between two runs of the collector. The default of 700 walks the ledgers
-# and answers, tens of thousands of objects, many times per second under load.
+# Allocations between two runs of the garbage collector. With the default of 700, it
+# would traverse the ledgers and answers, tens of thousands of objects, many times per
+# second under load.
 COLLECT_AFTER = 50_000
 
 
-class Stop:
+class StopSignal:
     """Waits for SIGTERM or SIGINT; a second one ends the process at once.
 
     Parameters
     ----------
-    left_over : callable
-        Returns what is lost if the process ends now.
+    unfinished_work : callable
+        Returns a text that counts what is lost if the process ends now.
     """
 
-    def __init__(self, left_over: t.Callable[[], str]):
-        self._left_over = left_over
-        self._asked = asyncio.Event()
+    def __init__(self, unfinished_work: t.Callable[[], str]):
+        self._unfinished_work = unfinished_work
+        self._stop_requested = asyncio.Event()
 
     async def wait(self) -> None:
-        """Return when the process is told to stop."""
+        """Wait until the first signal arrives."""
         loop = asyncio.get_running_loop()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, self._signalled)
-        await self._asked.wait()
+        await self._stop_requested.wait()
 
     def _signalled(self) -> None:
-        if not self._asked.is_set():
-            self._asked.set()
+        if not self._stop_requested.is_set():
+            self._stop_requested.set()
             return
-        click.echo(f"stopped at once, left: {self._left_over()}", err=True)
+        click.echo(f"stopped at once, left: {self._unfinished_work()}", err=True)
         sys.stderr.flush()
         os._exit(EXIT_FORCED)
 
 
 def _tune_collector() -> None:
-    """Leave what was loaded at start to itself, and collect less often."""
+    """Exclude the objects that exist now from garbage collection; run it less often."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(COLLECT_AFTER, 20, 20)
@@ -67,5 +68,5 @@
     await app.start()
     _tune_collector()
     click.echo(f"listening on {app.address}")
-    await Stop(app.left_over).wait()
+    await StopSignal(app.unfinished_work).wait()
     await app.stop()
--- a/tests/test_ownership_io.py
+++ b/tests/test_ownership_io.py
@@ -36,7 +36,7 @@
 
     result = CallResult.DELIVERED
 
-    def learn(self, process, address):
+    def set_address(self, process, address):
         pass
 
     async def call(self, process, batch, timeout_s):
@@ -70,7 +70,7 @@
             lambda: None,
         )
         for command in commands:
-            self.task._carry_out(command)
+            self.task._execute(command)
             await asyncio.gather(*self.task._tasks)
 
     def _record(self, now, message):
@@ -94,7 +94,7 @@
 
     def test_record_is_written_and_read_back(self):
         """Guards against an assignment that changes on its way through the store."""
-        record = Record().with_member("p#1", "a:1", "l1").taken("dc1/0", "p#1")
+        record = Record().with_member("p#1", "a:1", "l1").with_owner("dc1/0", "p#1")
         found = self.run_commands(WriteRecord(record, 0), ReadRecord())
         self.assertEqual(RecordWritten, type(found[0]))
         self.assertEqual(
