--- a/src/poplaryard/platform/__init__.py
+++ b/src/poplaryard/platform/__init__.py
@@ -1,15 +1,15 @@
-"""Names, formats and calls of the platform; nothing here decides anything."""
+"""Adapters to the platform: formats, store, workers, advice service and HTTP API."""
 
 from .codec import DecodeFailed
-from .front import Front, PlatformFront
+from .front import PlatformFrontend, Response
 from .services import AdviceClient, WorkerClient
 from .store import PlatformStore
 
 __all__ = [
     "AdviceClient",
     "DecodeFailed",
-    "Front",
-    "PlatformFront",
+    "Response",
+    "PlatformFrontend",
     "PlatformStore",
     "WorkerClient",
 ]
--- a/src/poplaryard/platform/codec.py
+++ b/src/poplaryard/platform/codec.py
@@ -1,4 +1,4 @@
-"""Decoding of what the platform's clients, operators and workers send."""
+"""Decoders of the messages of the platform's clients, operators and workers."""
 
 import typing as t
 
@@ -23,7 +23,7 @@
     "WORKER_PREFIX",
     "DecodeFailed",
     "decode_config",
-    "decode_hold",
+    "decode_hold_report",
     "decode_submission",
     "decode_worker",
 ]
@@ -40,7 +40,7 @@
 
 
 class DecodeFailed(ValueError):
-    """Text that does not have the platform's format."""
+    """Raised for a message that does not have the platform's format."""
 
 
 class _Step(msgspec.Struct):
@@ -66,7 +66,7 @@
 
 class _Submission(msgspec.Struct):
     steps: t.Annotated[list[_Step], msgspec.Meta(min_length=1, max_length=MAX_STEPS)]
-    # Text for the tasks, not a specification of the job.
+    # Opaque text that is passed to every task.
     spec: t.Annotated[str, msgspec.Meta(max_length=4000)] = ""
     times: Natural = 0
     first_run_ms: float = 0.0
@@ -85,7 +85,7 @@
     prefix: str
     service: str
     timeout_ms: Milliseconds = 3000.0
-    # Added to the stretched run time; not the whole objective.
+    # The objective for a job is its estimated run time times `stretch`, plus this.
     target_duration_ms: Milliseconds = 0.0
     priority: int = 0
     attempts: int = 1
@@ -136,24 +136,29 @@
     born: float = 0
 
 
-_submissions = msgspec.json.Decoder(_Submission)
-_configs = msgspec.json.Decoder(_Config)
-_entries = msgspec.json.Decoder(_Entry)
-_holds = msgspec.json.Decoder(_Hold)
+_submission_decoder = msgspec.json.Decoder(_Submission)
+_config_decoder = msgspec.json.Decoder(_Config)
+_entry_decoder = msgspec.json.Decoder(_Entry)
+_hold_decoder = msgspec.json.Decoder(_Hold)
 
 
 def decode_submission(
     body: bytes, job_id: str, queue: Queue, accepted_at: float
 ) -> JobSpec:
-    """Decode the body with which a client hands in a job.
+    """Decode the body with which a client submits a job.
+
+    Parameters
+    ----------
+    accepted_at : float
+        Wall-clock time in seconds.
 
     Raises
     ------
     DecodeFailed
-        If the body is malformed or its steps refer to later ones.
+        If the body is malformed or a step depends on itself or a later one.
     """
-    found = _decoded(_submissions, body)
-    steps = tuple(_step(number, step) for number, step in enumerate(found.steps))
+    found = _decode(_submission_decoder, body)
+    steps = tuple(_step_spec(number, step) for number, step in enumerate(found.steps))
     return JobSpec(
         job_id=job_id,
         queue=queue.name,
@@ -174,10 +179,10 @@
 
 def decode_config(value: bytes) -> QueueTable:
     """Decode the operator's configuration; raises `DecodeFailed`."""
-    found = _decoded(_configs, value)
+    found = _decode(_config_decoder, value)
     return QueueTable(
         version=found.version,
-        queues=tuple(_queue(route) for route in found.routes),
+        queues=tuple(_route_queue(route) for route in found.routes),
         groups=tuple(service.name for service in found.services if not service.spare),
         guarded=frozenset(
             service.name for service in found.services if service.admission_check
@@ -187,8 +192,8 @@
 
 
 def decode_worker(key: str, value: bytes) -> WorkerInfo:
-    """Decode the entry that a worker wrote of itself; raises `DecodeFailed`."""
-    found = _decoded(_entries, value)
+    """Decode the entry that a worker wrote about itself; raises `DecodeFailed`."""
+    found = _decode(_entry_decoder, value)
     return WorkerInfo(
         worker_id=key.removeprefix(WORKER_PREFIX),
         group=found.service,
@@ -204,9 +209,9 @@
     )
 
 
-def decode_hold(body: bytes) -> HoldReport:
-    """Decode a worker's lists of runs; raises `DecodeFailed`."""
-    found = _decoded(_holds, body)
+def decode_hold_report(body: bytes) -> HoldReport:
+    """Decode a worker's answer to a lease renewal; raises `DecodeFailed`."""
+    found = _decode(_hold_decoder, body)
     try:
         running = tuple(
             RunningRun(
@@ -223,16 +228,16 @@
     return HoldReport(found.clock_ms / 1000, int(found.born), running, ended)
 
 
-def _decoded(decoder: t.Any, value: bytes) -> t.Any:
+def _decode(decoder: t.Any, value: bytes) -> t.Any:
     try:
         return decoder.decode(value)
     except (msgspec.DecodeError, RecursionError) as exc:
         raise DecodeFailed(str(exc)) from exc
 
 
-def _step(number: int, step: _Step) -> StepSpec:
+def _step_spec(number: int, step: _Step) -> StepSpec:
     if any(earlier >= number for earlier in step.after):
-        raise DecodeFailed(f"step {number} waits for a step that is not earlier")
+        raise DecodeFailed(f"step {number} depends on a step that is not earlier")
     return StepSpec(
         count=step.count,
         need=Resources(step.cpu, step.mem_mb, step.gpu),
@@ -253,7 +258,7 @@
     )
 
 
-def _queue(route: _Route) -> Queue:
+def _route_queue(route: _Route) -> Queue:
     advice = None
     if route.advice is not None:
         advice = AdviceCost(
--- a/src/poplaryard/platform/entry.py
+++ b/src/poplaryard/platform/entry.py
@@ -1,4 +1,4 @@
-"""Command that runs one process on the platform."""
+"""Command `poplaryard entry`: runs one process on the platform."""
 
 import asyncio
 import os
@@ -25,7 +25,7 @@
     decode_config,
     decode_worker,
 )
-from .front import PlatformFront
+from .front import PlatformFrontend
 from .services import AdviceClient, WorkerClient
 from .store import PlatformStore
 
@@ -33,23 +33,24 @@
 
 SETTINGS_VARIABLE = "POPLARYARD_BOOT"
 EXIT_INVALID = 2
-# An order that has no answer by then is in doubt; workers answer within milliseconds.
+# Timeout of calls to workers, in seconds; workers answer within milliseconds.
 ORDER_TIMEOUT_S = 0.7
-# Largest lease that workers are given, in seconds: work on a worker that was lost can
-# start elsewhere only after it. Long enough for a change of owner.
+# Upper limit of the lease that workers are given, in seconds. Longer leases delay the
+# restart of runs of a lost worker; shorter ones would lapse during a change of owner.
 HOLD_S = 6.0
-# Time from SIGTERM until connections are closed, in seconds: the platform's balancer
-# needs two probes, one a second, to notice.
+# Time from SIGTERM until connections are closed, in seconds. The platform's load
+# balancer needs two probes, one a second, to notice that the process is not ready.
 LAME_DUCK_S = 2.5
-# Time for requests in progress after that, in seconds: as long as a write of a job may
-# be repeated.
+# Time for requests in progress after that, in seconds: as long as the write of a job
+# may be retried.
 DRAIN_S = 2.8
-# Kept of the time to stop for the last calls, in seconds: SIGKILL follows.
+# Part of the grace period that is reserved for the last calls, in seconds. SIGKILL
+# ends the process when the period is over.
 LAST_S = 1.4
 
 
 class Listen(msgspec.Struct, forbid_unknown_fields=False):
-    """Addresses to listen on."""
+    """Addresses to listen on, as "HOST:PORT"."""
 
     callers: str
     ready: str
@@ -58,7 +59,7 @@
 
 
 class EntrySettings(msgspec.Struct):
-    """Settings of one process, as `deploy/settings.json.in` lays them out."""
+    """Settings of one process, in the format of `deploy/settings.json.in`."""
 
     process: str
     data_centre: str
@@ -76,7 +77,7 @@
 
 
 def load_settings(path: str) -> EntrySettings:
-    """Read and check the settings; ends the process with a message if they are bad."""
+    """Return the settings; prints a message and exits with 2 if they are invalid."""
     from .. import jsonc
 
     try:
@@ -128,14 +129,14 @@
         SystemClock(),
     )
 
-    def read_gauges() -> None:
+    def update_gauges() -> None:
         node.meters.set("poplaryard_log_lines_dropped", {}, stream.dropped)
         for call, count in store.calls.items():
             node.meters.set("poplaryard_store_calls", {"call": call}, count)
 
-    front = PlatformFront(node, read_gauges)
+    frontend = PlatformFrontend(node, update_gauges)
     servers = [
-        _server(front, address)
+        _http_server(frontend, address)
         for address in dict.fromkeys(
             [
                 cfg.listen.ready,
@@ -147,8 +148,8 @@
     ]
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, stop.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path)
     for server in servers:
         await server.start()
@@ -156,22 +157,22 @@
     logger.info("process started", extra={"process_id": os.getpid()})
     await stop.wait()
     logger.info("process stops")
-    handing = asyncio.create_task(node.hand_over(cfg.grace_s - LAST_S))
+    hand_over_task = asyncio.create_task(node.hand_over(cfg.grace_s - LAST_S))
     await asyncio.sleep(min(LAME_DUCK_S, cfg.grace_s / 2))
     await asyncio.gather(*(server.stop() for server in servers))
-    await handing
+    await hand_over_task
     await node.stop()
     logger.info("process stopped")
     stream.close()
 
 
-def _server(app: t.Any, address: str) -> HttpServer:
+def _http_server(app: t.Any, address: str) -> HttpServer:
     host, _, port = address.rpartition(":")
     return HttpServer(app, host, int(port), graceful_s=DRAIN_S)
 
 
 def _reload(path: str) -> None:
-    """Check the settings file; addresses only change with a restart."""
+    """Reload the settings; only the log level takes effect without a restart."""
     cfg = load_settings(path)
     logs.logger.setLevel(cfg.log_level.upper())
     logger.info("settings read again", extra={"log_level": cfg.log_level})
--- a/src/poplaryard/platform/front.py
+++ b/src/poplaryard/platform/front.py
@@ -1,4 +1,4 @@
-"""HTTP interface to the platform's clients, and its answers."""
+"""HTTP API for the platform's clients, probes and peers."""
 
 import json
 import re
@@ -15,18 +15,18 @@
 from ..workload.relay import RELAY_PATH, answer_relayed
 from .codec import DecodeFailed, decode_submission
 
-__all__ = ["Front", "PlatformFront"]
+__all__ = ["Response", "PlatformFrontend"]
 
 READY_PATH = "/poplaryard/readyz"
-# Seconds after which a refused client should return: by then the platform's balancer
-# has noticed a process that is not ready, or a short outage is over.
+# Time after which a refused client should retry, in seconds. By then the platform's
+# load balancer has noticed a process that is not ready, or a short outage is over.
 RETRY_S = 1.0
-# Kept of a client's time for the way of the answer, in seconds.
+# Part of the client's deadline that is reserved to send the response, in seconds.
 ANSWER_S = 0.2
-# Time that a client waits if it does not say, in seconds.
+# Deadline of a request without the header x-deadline-ms, in seconds.
 DEADLINE_S = 3.0
 METRICS_PATH = "/metrics"
-# Largest call of a peer: a transaction of 16 jobs of the largest size.
+# Limit of a peer's request: a transaction of 16 jobs of the largest size.
 MAX_PEER_BODY_BYTES = 8 * 1024 * 1024
 # Clients name a job by 16 hexadecimal digits.
 _JOB_ID = re.compile(r"[0-9a-fA-F]{16}\Z")
@@ -36,133 +36,136 @@
 Send: t.TypeAlias = t.Callable[[dict[str, t.Any]], t.Awaitable[None]]
 
 
-class Front(t.NamedTuple):
-    """Response to one request; `retry_s` says when a refused client may return."""
+class Response(t.NamedTuple):
+    """HTTP response; `body` is sent as JSON, `raw` as it is.
+
+    `retry_after_s` tells a refused client when to retry; 0 for no such header.
+    """
 
     status: int
     body: t.Any = None
-    retry_s: float = 0.0
+    retry_after_s: float = 0.0
     raw: bytes = b""
 
 
-class _TooLarge(Exception):
-    """Body above the configured limit."""
+class _BodyTooLarge(Exception):
+    """Raised for a request body that exceeds its limit."""
 
 
-class PlatformFront:
+class PlatformFrontend:
     """ASGI application for clients, readiness probes and peers.
 
     Parameters
     ----------
     node : Node
-    read_gauges : callable
-        Brings the gauges up to date before metrics are read.
+    update_gauges : callable
+        Called to update the gauges before metrics are rendered.
     """
 
-    def __init__(self, node: Node, read_gauges: t.Callable[[], None]):
+    def __init__(self, node: Node, update_gauges: t.Callable[[], None]):
         self._node = node
-        self._read_gauges = read_gauges
+        self._update_gauges = update_gauges
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Serve one request; ignores scopes other than HTTP."""
         if scope["type"] != "http":
             return
         try:
-            answer = await self._answer(scope, receive)
-        except _TooLarge:
-            answer = Front(413)
+            response = await self._route(scope, receive)
+        except _BodyTooLarge:
+            response = Response(413)
         except PoplaryardError as exc:
-            logger.info("question not answered", extra={"reason": exc.detail})
-            answer = Front(503, retry_s=RETRY_S)
+            logger.info("request not answered", extra={"reason": exc.detail})
+            response = Response(503, retry_after_s=RETRY_S)
         close = self._node.stopping or self._node.isolated
-        await _respond(answer, send, close)
+        await _respond(response, send, close)
 
-    async def _answer(self, scope: Scope, receive: Receive) -> Front:
+    async def _route(self, scope: Scope, receive: Receive) -> Response:
         path, method = scope["path"], scope["method"]
         if path == READY_PATH:
-            return Front(200 if self._node.ready else 503)
+            return Response(200 if self._node.ready else 503)
         if path == METRICS_PATH:
-            self._read_gauges()
-            return Front(200, raw=self._node.meters.text())
+            self._update_gauges()
+            return Response(200, raw=self._node.meters.text())
         if path.startswith("/peer/v1/"):
-            return await self._answer_peer(path, receive)
+            return await self._handle_peer(path, receive)
         if not self._node.queues.version:
-            return Front(503, retry_s=RETRY_S)
+            return Response(503, retry_after_s=RETRY_S)
         queue = self._node.queues.find(_host(scope), path)
         if queue is None:
-            return Front(404)
+            return Response(404)
         name = path[len(queue.prefix) :]
         if not name:
-            return await self._pending(queue, method)
+            return await self._get_pending(queue, method)
         if not _JOB_ID.match(name):
-            return Front(404)
+            return Response(404)
         if method == "POST":
             limit = self._node.queues.max_body_bytes
-            patience_s = min(_deadline_s(scope), queue.timeout_s) - ANSWER_S
-            body = await _body(receive, limit)
-            return await self._submit(queue, name, body, patience_s)
+            retry_window_s = min(_deadline_s(scope), queue.timeout_s) - ANSWER_S
+            body = await _read_body(receive, limit)
+            return await self._post_job(queue, name, body, retry_window_s)
         if method == "GET":
-            return await self._state(queue, name)
+            return await self._get_state(queue, name)
         if method == "DELETE":
             cancelled = await self._node.cancel(queue, name)
-            return Front(200, {}) if cancelled else Front(410)
-        return Front(405)
+            return Response(200, {}) if cancelled else Response(410)
+        return Response(405)
 
-    async def _answer_peer(self, path: str, receive: Receive) -> Front:
+    async def _handle_peer(self, path: str, receive: Receive) -> Response:
         if path == "/peer/v1/ping":
-            return Front(200)
-        body = await _body(receive, MAX_PEER_BODY_BYTES)
+            return Response(200)
+        body = await _read_body(receive, MAX_PEER_BODY_BYTES)
         try:
             if path == RELAY_PATH:
-                return Front(
+                return Response(
                     200, raw=await answer_relayed(self._node.direct_storage, body)
                 )
             if path == "/peer/v1/stored":
                 self._node.jobs_stored(body)
-                return Front(200)
-            question = json.loads(body)
+                return Response(200)
+            query = json.loads(body)
         except (ValueError, msgspec.MsgspecError):
-            return Front(400)
-        if not isinstance(question, dict):
-            return Front(400)
+            return Response(400)
+        if not isinstance(query, dict):
+            return Response(400)
         if path != "/peer/v1/advise":
-            return Front(200, self._node.answer_peer(question))
+            return Response(200, self._node.answer_peer(query))
         try:
-            advice = await self._node.advise(question)
+            advice = await self._node.advise(query)
         except (KeyError, TypeError, ValueError):
-            return Front(400)
-        return Front(503) if advice is None else Front(200, advice)
+            return Response(400)
+        return Response(503) if advice is None else Response(200, advice)
 
-    async def _pending(self, queue: Queue, method: str) -> Front:
+    async def _get_pending(self, queue: Queue, method: str) -> Response:
         if method != "GET":
-            return Front(405)
-        return Front(200, {"pending": await self._node.pending(queue)})
+            return Response(405)
+        return Response(200, {"pending": await self._node.pending(queue)})
 
-    async def _submit(
-        self, queue: Queue, job_id: str, body: bytes, patience_s: float
-    ) -> Front:
+    async def _post_job(
+        self, queue: Queue, job_id: str, body: bytes, retry_window_s: float
+    ) -> Response:
         try:
             spec = decode_submission(body, job_id, queue, time.time())
         except DecodeFailed as exc:
             extra = {"request": job_id, "reason": str(exc)}
             logger.info("job malformed", extra=extra)
-            return Front(400)
-        accepted = await self._node.submit(spec, patience_s)
-        if accepted is SubmitOutcome.STORED:
-            return Front(200, {})
-        if accepted is SubmitOutcome.REFUSED:
-            return Front(503, retry_s=RETRY_S)
-        # The job may have been stored: the client has to send it again.
-        return Front(504)
-
-    async def _state(self, queue: Queue, job_id: str) -> Front:
+            return Response(400)
+        outcome = await self._node.submit(spec, retry_window_s)
+        if outcome is SubmitOutcome.STORED:
+            return Response(200, {})
+        if outcome is SubmitOutcome.REFUSED:
+            return Response(503, retry_after_s=RETRY_S)
+        # The job may have been stored; the client has to send it again.
+        return Response(504)
+
+    async def _get_state(self, queue: Queue, job_id: str) -> Response:
         state: JobState | None = await self._node.state(queue, job_id)
         if state is None:
-            return Front(410)
-        return Front(200, {"state": str(state)})
+            return Response(410)
+        return Response(200, {"state": str(state)})
 
 
-async def _body(receive: Receive, limit: int) -> bytes:
+async def _read_body(receive: Receive, limit: int) -> bytes:
     parts: list[bytes] = []
     size = 0
     while True:
@@ -172,33 +175,35 @@
         part = message.get("body", b"")
         size += len(part)
         if size > limit:
-            raise _TooLarge
+            raise _BodyTooLarge
         parts.append(part)
         if not message.get("more_body"):
             return b"".join(parts)
 
 
-async def _respond(answer: Front, send: Send, close: bool) -> None:
-    content = answer.raw
-    if answer.body is not None:
-        content = json.dumps(answer.body).encode()
+async def _respond(response: Response, send: Send, close: bool) -> None:
+    content = response.raw
+    if response.body is not None:
+        content = json.dumps(response.body).encode()
     headers = [
         (b"content-type", b"application/json"),
         (b"content-length", str(len(content)).encode()),
     ]
-    if answer.retry_s:
-        headers.append((b"retry-after", str(max(1, round(answer.retry_s))).encode()))
+    if response.retry_after_s:
+        headers.append(
+            (b"retry-after", str(max(1, round(response.retry_after_s))).encode())
+        )
     if close:
         headers.append((b"connection", b"close"))
     await send(
-        {"type": "http.response.start", "status": answer.status, "headers": headers}
+        {"type": "http.response.start", "status": response.status, "headers": headers}
     )
     await send({"type": "http.response.body", "body": content})
 
 
-def _header(scope: Scope, wanted: bytes) -> str:
+def _header(scope: Scope, header: bytes) -> str:
     for name, value in scope["headers"]:
-        if name == wanted:
+        if name == header:
             return value.decode("latin-1")
     return ""
 
--- a/src/poplaryard/platform/services.py
+++ b/src/poplaryard/platform/services.py
@@ -7,7 +7,7 @@
 from ..codes import Code
 from ..exceptions import PoplaryardError, WorkerUnreachable
 from ..workload.model import HoldReport, StartOutcome, WorkerInfo
-from .codec import DecodeFailed, decode_hold
+from .codec import DecodeFailed, decode_hold_report
 
 __all__ = ["AdviceClient", "WorkerClient"]
 
@@ -28,13 +28,13 @@
 
 
 class WorkerClient:
-    """Sends orders to workers.
+    """Calls workers over HTTP; see `poplaryard.workload.owner.WorkerCalls`.
 
     Parameters
     ----------
     client : HttpClient
     timeout_s : float
-        Time after which an order without an answer is in doubt, in seconds.
+        Timeout of a call in seconds. A start that times out may have taken effect.
     """
 
     def __init__(self, client: HttpClient, timeout_s: float):
@@ -52,7 +52,13 @@
         checkpoint: str = "",
         ticket: str = "",
     ) -> StartOutcome:
-        """Order a worker to start a run; `deadline_s` is on the worker's clock."""
+        """Order a worker to start a run.
+
+        Parameters
+        ----------
+        deadline_s : float
+            Latest arrival of the order on the worker's clock, in seconds.
+        """
         body: dict[str, t.Any] = {
             "task": task,
             "run": run,
@@ -75,7 +81,10 @@
         return _OUTCOMES.get(reply.status, StartOutcome.IN_DOUBT)
 
     async def stop(self, worker: WorkerInfo, task: str, run: int, fence: int) -> bool:
-        """Order a worker to stop a run; True if the order can't take effect later."""
+        """Order a worker to stop a run; return whether the worker confirmed it.
+
+        An order that is not confirmed may take effect later.
+        """
         body = {"task": task, "run": run, "fencing_token": fence}
         try:
             reply = await self._post(worker, "run-stop", body, self._timeout_s)
@@ -86,7 +95,7 @@
     async def pace(
         self, worker: WorkerInfo, task: str, run: int, percent: int, fence: int
     ) -> bool:
-        """Limit the share of its work that a run may do; False if not applied."""
+        """Throttle a run to a percentage of its rate; return whether it took effect."""
         body = {"task": task, "run": run, "percent": percent, "fencing_token": fence}
         try:
             reply = await self._post(worker, "pace", body, self._timeout_s)
@@ -102,12 +111,13 @@
         deadline_s: float | None,
         wait_s: float,
     ) -> HoldReport:
-        """Renew the leases of all runs of a worker and return what it reports.
+        """Renew the leases of all runs of a worker and return its report.
 
         Raises
         ------
         WorkerUnreachable
-            If it did not answer, or another life of it or another worker did.
+            If the worker gave no valid answer, or if another incarnation of it or
+            another worker answered at its address.
         """
         body: dict[str, t.Any] = {"fencing_token": fence, "ack_seq": acknowledged}
         if deadline_s is not None:
@@ -126,7 +136,7 @@
                 fenced=reply.status == 409,
             )
         try:
-            return decode_hold(reply.content)
+            return decode_hold_report(reply.content)
         except DecodeFailed as exc:
             raise WorkerUnreachable(str(exc)) from exc
 
@@ -143,7 +153,7 @@
 
 
 class AdviceClient:
-    """Asks which workers may run the tasks of a step."""
+    """Client of the service that tells which workers may run the tasks of a step."""
 
     def __init__(self, client: HttpClient, address: str):
         self._client = client
@@ -152,7 +162,7 @@
     async def ask(
         self, step: str, workers: list[str], timeout_s: float, slow: bool = False
     ) -> tuple[dict[str, str], float] | None:
-        """Return the tickets by worker and their life in seconds; None if refused."""
+        """Return tickets by worker and their validity in seconds; None if refused."""
         body = json.dumps({"step": step, "workers": workers}).encode()
         reply = await self._client.request("POST", self._url, body, timeout_s)
         if reply.status != 200:
--- a/src/poplaryard/platform/store.py
+++ b/src/poplaryard/platform/store.py
@@ -12,21 +12,24 @@
 
 __all__ = ["PlatformStore"]
 
-# A slow store takes 0.24 s for an answer. A connection that has gone silent must be
-# noticed, and its call repeated, well within `config_apply_ms` of 2 s.
+# A slow store takes 0.24 s to answer. A dead connection must be detected, and the call
+# repeated, well within the 2 s that the platform allows as `config_apply_ms`.
 CALL_TIMEOUT_S = 0.7
-# Time that an answer to a watch may take beyond the wait that was asked for.
+# Added to the requested wait of a watch to get its timeout, in seconds.
 WATCH_SLACK_S = 0.5
-_NOTHING_DONE = (429, 503)
+# Statuses with which the store refuses a call without executing it.
+_NOT_EXECUTED = (429, 503)
 
 
 class PlatformStore:
-    """Calls the platform's store; see `poplaryard.workload.storage.Storage`.
+    """Calls the platform's store over HTTP.
+
+    Implements `poplaryard.workload.storage.Storage`.
 
     Attributes
     ----------
     calls : dict of str to int
-        Calls made so far by name.
+        Number of calls so far, by name.
     """
 
     def __init__(self, client: HttpClient, address: str):
@@ -37,7 +40,7 @@
     async def get(self, key: str) -> Item | None:
         """Return the item of a key, or None."""
         reply = await self._get("kv-key", f"key={quote(key)}")
-        return None if reply.status == 404 else _item(_checked(reply))
+        return None if reply.status == 404 else _parse_item(_check(reply))
 
     async def scan(self, prefix: str) -> tuple[list[Item], int]:
         """Return all items under a prefix and the revision to watch from."""
@@ -46,9 +49,10 @@
         query = f"prefix={quote(prefix)}"
         after = ""
         while True:
-            body = _checked(await self._get("kv-range", query + after))
-            items += [_item(found) for found in body["items"]]
-            # Pages are not a snapshot: changes are watched from the first page on.
+            body = _check(await self._get("kv-range", query + after))
+            items += [_parse_item(found) for found in body["items"]]
+            # Pages are read at different revisions. Watching from the revision of the
+            # first one covers the changes made in between.
             revision = revision or body["at"]
             if not body["truncated"] or not body["items"]:
                 return items, revision
@@ -57,16 +61,24 @@
     async def watch(
         self, prefix: str, after: int, wait_s: float
     ) -> tuple[list[Change], int] | None:
-        """Wait for changes after a revision; None if that history is gone."""
+        """Wait for changes after a revision.
+
+        Returns the changes and the revision to watch from next, or None if the store no
+        longer has the history since `after`.
+        """
         query = f"prefix={quote(prefix)}&after={after}&wait_ms={int(wait_s * 1000)}"
         reply = await self._get("kv-watch", query, wait_s + WATCH_SLACK_S)
         if reply.status == 410:
             return None
-        body = _checked(reply)
-        return [_change(event) for event in body["events"]], body["at"]
+        body = _check(reply)
+        return [_parse_change(event) for event in body["events"]], body["at"]
 
     async def commit(self, transaction: Transaction) -> int | list[Item | None]:
-        """Return the new revision, or the present items of the expected keys."""
+        """Commit a transaction.
+
+        Returns the new revision, or the present items of the expected keys if an
+        expectation did not hold. Raises `LeaseLost` if a lease has ended.
+        """
         body = {
             "expected": [
                 {"key": key, "rev": revision}
@@ -80,29 +92,29 @@
         }
         reply = await self._post("kv-txn", body)
         if reply.status == 412:
-            return _current(transaction, reply.body["items"])
+            return _present_items(transaction, reply.body["items"])
         if reply.status == 404:
             raise LeaseLost
-        return int(_checked(reply)["rev"])
+        return int(_check(reply)["rev"])
 
     async def grant(self, ttl_s: float) -> int:
         """Return the id of a new lease."""
         reply = await self._post("kv-lease", {"ttl_ms": int(ttl_s * 1000)})
-        return int(_checked(reply)["lease"])
+        return int(_check(reply)["lease"])
 
     async def renew(self, lease: int) -> bool:
         """Renew a lease; False if it has ended."""
         reply = await self._post(f"kv-keep/{lease}", {})
         if reply.status == 404:
             return False
-        _checked(reply)
+        _check(reply)
         return True
 
     async def revoke(self, lease: int) -> None:
-        """End a lease and remove its keys."""
+        """End a lease and remove the keys bound to it."""
         reply = await self._call("DELETE", f"kv-lease-end/{lease}", None)
         if reply.status != 404:
-            _checked(reply)
+            _check(reply)
 
     async def _get(
         self, name: str, query: str, timeout_s: float = CALL_TIMEOUT_S
@@ -131,27 +143,29 @@
             raise StoreReplyLost(exc.detail) from exc
 
 
-def _checked(reply: Reply) -> t.Any:
+def _check(reply: Reply) -> t.Any:
     if reply.status == 200:
         return reply.body
-    if reply.status in _NOTHING_DONE:
+    if reply.status in _NOT_EXECUTED:
         raise StoreDown(f"The store refused the call with status {reply.status}.")
     raise StoreReplyLost(f"The store answered with status {reply.status}.")
 
 
-def _item(found: t.Any) -> Item:
+def _parse_item(found: t.Any) -> Item:
     value = base64.b64decode(found["value"])
     return Item(found["key"], value, found["rev"], found.get("lease", 0))
 
 
-def _change(event: t.Any) -> Change:
-    item = None if event.get("deleted") else _item(event)
+def _parse_change(event: t.Any) -> Change:
+    item = None if event.get("deleted") else _parse_item(event)
     return Change(event["key"], event["rev"], item)
 
 
-def _current(transaction: Transaction, found: list[t.Any]) -> list[Item | None]:
+def _present_items(transaction: Transaction, found: list[t.Any]) -> list[Item | None]:
     present = {entry["key"]: entry for entry in found if entry.get("value") is not None}
     return [
-        _item(present[key]) if key in present and present[key].get("rev") else None
+        _parse_item(present[key])
+        if key in present and present[key].get("rev")
+        else None
         for key in transaction.expected
     ]
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -103,7 +103,7 @@
         """
 
     async def stop(self, worker: WorkerInfo, task: str, run: int, fence: int) -> bool:
-        """Order a worker to stop a run; True if it cannot run any more."""
+        """Order a worker to stop a run; return whether the worker confirmed it."""
 
     async def hold(
         self,
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform's store, workers and advice, served on loopback."""
+"""Stand-ins for the platform's store and workers, served on the loopback interface."""
 
 import asyncio
 import base64
@@ -17,11 +17,19 @@
 
 
 class PlatformStandIn:
-    """Store, advice and workers of the platform behind one HTTP address each."""
+    """Store and workers of the platform, each with an HTTP address of its own.
+
+    Attributes
+    ----------
+    store_refuses : bool
+        Whether the store answers every call with status 503.
+    store_silent : bool
+        Whether the store delays every answer by a minute.
+    """
 
     def __init__(self, workers=2):
         self.storage = MemoryStorage()
-        self.refuse = self.silent = False
+        self.store_refuses = self.store_silent = False
         self.sims = {}
         self.store = HttpServer(self._store_app, "127.0.0.1", 0)
         self.workers = [self._add_worker(number) for number in range(workers)]
@@ -56,9 +64,9 @@
             key: values[0]
             for key, values in parse_qs(scope["query_string"].decode()).items()
         }
-        if self.silent:
+        if self.store_silent:
             await asyncio.sleep(60.0)
-        if self.refuse:
+        if self.store_refuses:
             await respond(send, 503, {})
             return
         name = scope["path"].removeprefix("/poplaryard/")
@@ -142,7 +150,7 @@
         await respond(send, status, answer)
 
     async def _hold(self, body):
-        """Answer at an end, or after the wait that was asked for."""
+        """Answer when a run has ended, or after the requested wait."""
         deadline = body.get("deadline_ms", 0) / 1000
         fence = body["fencing_token"]
         now = time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/tests/platform/test_system.py
+++ b/tests/platform/test_system.py
@@ -12,7 +12,7 @@
     decode_config,
     decode_worker,
 )
-from poplaryard.platform.front import PlatformFront
+from poplaryard.platform.front import PlatformFrontend
 from poplaryard.platform.services import AdviceClient, WorkerClient
 from poplaryard.platform.store import PlatformStore
 from poplaryard.server import HttpServer
@@ -26,8 +26,8 @@
 JOB = {"spec": "text", "steps": [{"count": 2, "cpu": 1000, "estimate_ms": 100}]}
 
 
-class Entry:
-    """One process of the system on loopback."""
+class ProcessFixture:
+    """Process under test, served on the loopback interface."""
 
     def __init__(self, platform, name, strength=1.0):
         self.client = HttpClient(connections=64)
@@ -44,10 +44,10 @@
             SCHEMA,
             SystemClock(),
         )
-        self.front = PlatformFront(self.node, lambda: None)
+        self.frontend = PlatformFrontend(self.node, lambda: None)
 
     async def _app(self, scope, receive, send):
-        await self.front(scope, receive, send)
+        await self.frontend(scope, receive, send)
 
     async def start(self):
         await self.server.start()
@@ -67,35 +67,35 @@
         return reply.status, json.loads(reply.content) if reply.content else None
 
 
-def with_system(work, entries=2, strength=1.0):
-    strengths = strength if isinstance(strength, tuple) else [strength] * entries
+def run_with_processes(scenario, count=2, strength=1.0):
+    strengths = strength if isinstance(strength, tuple) else [strength] * count
 
     async def run():
         platform = PlatformStandIn()
         await platform.start()
-        system = [
-            Entry(platform, f"p{number}", strengths[number])
-            for number in range(entries)
+        processes = [
+            ProcessFixture(platform, f"p{number}", strengths[number])
+            for number in range(count)
         ]
         try:
-            for entry in system:
-                await entry.start()
-            status, _ = await system[0].call("GET", "/poplaryard/readyz")
+            for process in processes:
+                await process.start()
+            status, _ = await processes[0].call("GET", "/poplaryard/readyz")
             assert status == 503
             await platform.put(CONFIG_KEY, config())
-            await until(system[0], "/poplaryard/readyz", 200)
-            await work(platform, *system)
+            await until(processes[0], "/poplaryard/readyz", 200)
+            await scenario(platform, *processes)
         finally:
-            for entry in system:
-                await entry.stop()
+            for process in processes:
+                await process.stop()
             await platform.stop()
 
     asyncio.run(run())
 
 
-async def until(entry, path, wanted, seconds=8.0):
+async def until(process, path, wanted, seconds=8.0):
     for _ in range(int(seconds / 0.02)):
-        status, body = await entry.call("GET", path)
+        status, body = await process.call("GET", path)
         if wanted in (status, (body or {}).get("state")):
             return
         await asyncio.sleep(0.02)
@@ -103,7 +103,7 @@
 
 
 def test_job_is_accepted_at_one_process_and_shown_at_another():
-    async def work(platform, first, second):
+    async def scenario(platform, first, second):
         path = "/checks/" + "a" * 16
         assert (await first.call("POST", path, JOB))[0] == 200
         await until(second, path, "done")
@@ -111,13 +111,13 @@
         assert (await second.call("GET", "/checks/" + "b" * 16))[0] == 410
         assert (await second.call("DELETE", "/checks/" + "b" * 16))[0] == 410
 
-    with_system(work)
+    run_with_processes(scenario)
 
 
 def test_bad_input_is_refused_and_nothing_is_stored():
     """Guards against malformed, oversized or deeply nested bodies."""
 
-    async def work(platform, entry):
+    async def scenario(platform, process):
         path = "/checks/" + "a" * 16
         bodies = [
             b"",
@@ -130,18 +130,18 @@
             b'{"steps": [{"count": 1}], "spec": 7}',
         ]
         for body in bodies:
-            assert (await entry.call("POST", path, body))[0] == 400
+            assert (await process.call("POST", path, body))[0] == 400
         big = {"spec": "x" * 3000, "steps": [{"count": 1, "label": "y" * 300_000}]}
-        assert (await entry.call("POST", path, big))[0] == 413
-        assert (await entry.call("POST", "/unknown/" + "a" * 16, JOB))[0] == 404
-        assert (await entry.call("POST", path, JOB, host="other"))[0] == 404
+        assert (await process.call("POST", path, big))[0] == 413
+        assert (await process.call("POST", "/unknown/" + "a" * 16, JOB))[0] == 404
+        assert (await process.call("POST", path, JOB, host="other"))[0] == 404
         assert not [key for key in platform.storage.items if key.startswith("job/")]
 
-    with_system(work, entries=1)
+    run_with_processes(scenario, count=1)
 
 
 def test_cancelled_job_is_shown_as_cancelled():
-    async def work(platform, first, second):
+    async def scenario(platform, first, second):
         path = "/checks/" + "a" * 16
         lasting = {"spec": "s", "steps": [{"count": 1, "cpu": 1000, "daemon": True}]}
         assert (await first.call("POST", path, lasting))[0] == 200
@@ -149,55 +149,56 @@
         assert (await second.call("DELETE", path))[0] == 200
         await until(first, path, "cancelled")
 
-    with_system(work)
+    run_with_processes(scenario)
 
 
 def test_unreadable_worker_entries_are_skipped():
-    """Guards against an entry of another writer stopping the scheduler."""
+    """Guards against a scheduler that fails on a malformed entry."""
 
-    async def work(platform, entry):
+    async def scenario(platform, process):
         for number, value in enumerate((b"\xff\x00", b"{}", b'{"service": 7}')):
             await platform.put(f"servers/x{number}", value)
         path = "/checks/" + "a" * 16
-        assert (await entry.call("POST", path, JOB))[0] == 200
-        await until(entry, path, "done")
+        assert (await process.call("POST", path, JOB))[0] == 200
+        await until(process, path, "done")
 
-    with_system(work, entries=1)
+    run_with_processes(scenario, count=1)
 
 
 def test_metrics_are_served():
-    async def work(platform, entry):
-        reply = await entry.client.raw("GET", f"{entry.url}/metrics", None, 2.0)
+    async def scenario(platform, process):
+        reply = await process.client.raw("GET", f"{process.url}/metrics", None, 2.0)
         assert b"poplaryard_jobs_total" in reply.content
 
-    with_system(work, entries=1)
+    run_with_processes(scenario, count=1)
 
 
 def test_process_that_is_cut_off_is_not_ready():
-    """Guards against callers kept at a data centre that can serve nobody."""
+    """Guards against callers that are still sent to an isolated data centre."""
 
-    async def work(platform, first, second):
-        # To the first, the second is a peer of another data centre.
+    async def scenario(platform, first, second):
+        # The first process sees the second as an unreachable peer elsewhere.
         await asyncio.sleep(0.3)
         member = first.node._members["p1"]
         first.node._members["p1"] = msgspec.structs.replace(
             member, data_centre="dc2", address="127.0.0.1:9"
         )
-        platform.refuse = True
+        platform.store_refuses = True
         await until(first, "/poplaryard/readyz", 503)
-        # The second reaches a peer of its own data centre only: all may be down.
+        # The second knows only peers of its own data centre, so it cannot tell
+        # isolation from an outage of the store.
         assert (await second.call("GET", "/poplaryard/readyz"))[0] == 200
-        platform.refuse = False
+        platform.store_refuses = False
         await until(first, "/poplaryard/readyz", 200)
 
-    with_system(work)
+    run_with_processes(scenario)
 
 
 def test_group_moves_from_a_weak_process_to_a_strong_one_that_joins():
-    """Guards against a group that stays with a process whose link is too small."""
+    """Guards against a group that stays with a process whose link is too slow."""
 
-    async def work(platform, weak):
-        strong = Entry(platform, "strong", strength=1.0)
+    async def scenario(platform, weak):
+        strong = ProcessFixture(platform, "strong", strength=1.0)
         await strong.start()
         try:
             for _ in range(200):
@@ -212,43 +213,43 @@
         finally:
             await strong.stop()
 
-    with_system(work, entries=1, strength=0.1)
+    run_with_processes(scenario, count=1, strength=0.1)
 
 
 def test_strong_process_claims_before_weak_ones():
-    async def work(platform, *weak):
-        assert not any(entry.node.owners for entry in weak[1:])
+    async def scenario(platform, *weak):
+        assert not any(process.node.owners for process in weak[1:])
 
-    with_system(work, entries=3, strength=(1.0, 0.1, 0.1))
+    run_with_processes(scenario, count=3, strength=(1.0, 0.1, 0.1))
 
 
 def test_owner_that_is_stopped_during_an_outage_goes_on_until_it_can_hand_over():
-    """Guards against work that stands still because nobody can claim a group."""
+    """Guards against a pause in scheduling: no process can claim a group meanwhile."""
 
-    async def work(platform, first, second):
+    async def scenario(platform, first, second):
         owner, other = (first, second) if first.node.owners else (second, first)
-        platform.refuse = True
+        platform.store_refuses = True
         handing = asyncio.create_task(owner.node.hand_over(5.0))
         await asyncio.sleep(0.8)
         assert owner.node.owners["desk"].partition.accepts_starts
-        platform.refuse = False
+        platform.store_refuses = False
         await handing
         path = "/checks/" + "a" * 16
         assert (await other.call("POST", path, JOB))[0] == 200
         await until(other, path, "done")
 
-    with_system(work)
+    run_with_processes(scenario)
 
 
 def test_stop_during_an_outage_ends_in_time():
-    """Guards against SIGKILL at the end of the grace time: calls may get no answer."""
+    """Guards against a stop that waits for unanswered calls until SIGKILL."""
 
-    async def work(platform, first, second):
+    async def scenario(platform, first, second):
         owner = first if first.node.owners else second
-        platform.silent = True
+        platform.store_silent = True
         began = asyncio.get_running_loop().time()
         await owner.node.hand_over(1.0)
-        # The patience, orders on their way, and the end of the lease.
+        # The timeout for the store, orders in flight, the end of the lease, and slack.
         assert asyncio.get_running_loop().time() - began < 1.0 + 0.5 + 0.5 + 0.3
 
-    with_system(work)
+    run_with_processes(scenario)
