--- a/src/poplaryard/client.py
+++ b/src/poplaryard/client.py
@@ -131,14 +131,14 @@
         self, method: str, url: str, data: bytes | None, timeout_s: float
     ) -> Reply:
         """Send one request; raises as `post` does."""
-        reply = await self.raw(method, url, data, timeout_s)
+        reply = await self.request_raw(method, url, data, timeout_s)
         try:
             return Reply(reply.status, _decoded(reply.content))
         except ValueError as exc:
             detail = f"{url} sent a malformed answer: {exc}"
             raise PoplaryardError(Code.PEER_TIMEOUT, detail) from exc
 
-    async def raw(
+    async def request_raw(
         self,
         method: str,
         url: str,
--- a/src/poplaryard/platform/services.py
+++ b/src/poplaryard/platform/services.py
@@ -143,7 +143,7 @@
     async def _post(
         self, worker: WorkerInfo, call: str, body: t.Any, timeout_s: float
     ) -> RawReply:
-        return await self._client.raw(
+        return await self._client.request_raw(
             "POST",
             f"http://{worker.address}/poplaryard/{call}",
             json.dumps(body, separators=(",", ":")).encode(),
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -396,7 +396,7 @@
     async def _send_notification(self, address: str, body: bytes) -> None:
         url = f"http://{address}/peer/v1/stored"
         try:
-            await self._peers.raw("POST", url, body, PEER_TIMEOUT_S)
+            await self._peers.request_raw("POST", url, body, PEER_TIMEOUT_S)
         except PoplaryardError as exc:
             # The owner learns of the jobs from its watch instead, a little later.
             logger.info("owner not told of jobs", extra={"reason": exc.detail})
--- a/src/poplaryard/workload/relay.py
+++ b/src/poplaryard/workload/relay.py
@@ -278,7 +278,7 @@
         body = msgspec.json.encode(call)
         url = f"http://{address}{RELAY_PATH}"
         try:
-            reply = await self._client.raw("POST", url, body, timeout_s)
+            reply = await self._client.request_raw("POST", url, body, timeout_s)
         except PoplaryardError as exc:
             if call.call == "commit" and exc.code is not Code.PEER_UNREACHABLE:
                 self._good_peer = ""
--- a/tests/platform/test_system.py
+++ b/tests/platform/test_system.py
@@ -63,7 +63,7 @@
         if body is not None and not isinstance(body, bytes):
             data = json.dumps(body).encode()
         url = f"{self.url}{path}"
-        reply = await self.client.raw(method, url, data, 3.0, {"host": host})
+        reply = await self.client.request_raw(method, url, data, 3.0, {"host": host})
         return reply.status, json.loads(reply.content) if reply.content else None
 
 
@@ -167,7 +167,9 @@
 
 def test_metrics_are_served():
     async def scenario(platform, process):
-        reply = await process.client.raw("GET", f"{process.url}/metrics", None, 2.0)
+        reply = await process.client.request_raw(
+            "GET", f"{process.url}/metrics", None, 2.0
+        )
         assert b"poplaryard_jobs_total" in reply.content
 
     run_with_processes(scenario, count=1)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -118,7 +118,7 @@
         data = None if body is None else json.dumps(body).encode()
         began = self._system.clock()
         try:
-            reply = await self._client.raw(
+            reply = await self._client.request_raw(
                 method, entry.url + path, data, TIMEOUT_S, HOST
             )
             return reply.status, json.loads(reply.content or b"{}")
--- a/tests/workload/test_relay.py
+++ b/tests/workload/test_relay.py
@@ -18,7 +18,7 @@
         self.storage = storage
         self.lost = False
 
-    async def raw(self, method, url, body, timeout_s, headers=None):
+    async def request_raw(self, method, url, body, timeout_s, headers=None):
         answer = await answer_relayed(self.storage, body)
         if self.lost:
             raise PoplaryardError(Code.PEER_TIMEOUT)
@@ -122,16 +122,16 @@
     async def run():
         relayed = Relayed()
         relayed.turn_away()
-        reached = relayed.client.raw
+        reached = relayed.client.request_raw
         gone = set()
 
-        async def raw(method, url, body, timeout_s, headers=None):
+        async def request_raw(method, url, body, timeout_s, headers=None):
             if not gone or url in gone:
                 gone.add(url)
                 raise PoplaryardError(Code.PEER_UNREACHABLE)
             return await reached(method, url, body, timeout_s, headers)
 
-        relayed.client.raw = raw
+        relayed.client.request_raw = request_raw
         relayed.storage._peers = lambda: ["10.0.0.1:1", "10.0.0.2:1"]
         assert isinstance(await relayed.storage.commit(put("k", b"v")), int)
         # The peer that answered is asked first from now on.
