--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -79,11 +79,11 @@
 
     def submit(self, now: float, job: Job) -> None:
         """Queue a new job, or refuse it."""
-        detail = self.reasons.never(job, self.gangs)
+        detail = self.reasons.unplaceable(job, self.gangs)
         if detail:
             self._results.refuse(now, job, Code.UNPLACEABLE, detail)
             return
-        detail = self.reasons.beyond_quota(job)
+        detail = self.reasons.exceeds_team_limit(job)
         if detail:
             self._results.refuse(now, job, Code.QUOTA_EXCEEDED, detail)
             return
@@ -202,13 +202,13 @@
             return
         entry.next_task = job.work.tasks - len(job.pending)
         self._queues.push(now, entry)
-        self._state.quotas.waits(job.work.team)
+        self._state.quotas.add_waiting(job.work.team)
         if entry.lane not in self._blocked:
             self._retry_pass = True
 
     def _remove(self, now: float, job: Job) -> None:
         if self._queues.remove(job.request_id, now) is not None:
-            self._state.quotas.left(job.work.team)
+            self._state.quotas.remove_waiting(job.work.team)
 
     def _started_at_once(self, now: float, job: Job) -> bool:
         """Start a job past an empty queue, or as backfill before a gang."""
@@ -290,7 +290,7 @@
             self._parking.wait_for_key(job)
             return True
         if not work.idempotent and not job.fresh:
-            job.fresh = self._state.may_run_unknown(work.issued_at)
+            job.fresh = self._state.may_run_unreported(work.issued_at)
             if not job.fresh:
                 self._results.give_up(now, job, Code.UNKNOWN_OUTCOME)
                 return True
@@ -320,7 +320,7 @@
             return False
         charge = self._starter.charge(job)
         if not self._state.quotas.allowed(job.work.team, charge):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if not self._queues.may_start(now, entry):
             job.reason = self.reasons.kept_for_short(job)
@@ -351,7 +351,7 @@
         charge = self._starter.charge(job)
         whole = charge.times(len(job.pending))
         if not self._state.quotas.allowed(job.work.team, whole):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if self.gangs.hold_all(job, charge):
             self._starter.start_all_held(now, job)
@@ -374,7 +374,7 @@
         """Start the tasks whose held room has become free."""
         for job in self.gangs.ready(now):
             if self._must_wait(job):
-                self._state.unhold_all(job)
+                self._state.release_holds(job)
                 self._gang_back(job)
             else:
                 self._starter.start_all_held(now, job)
@@ -382,7 +382,7 @@
             for task, name in list(job.held.items()):
                 vm = self._state.fleet.vms.get(name)
                 if vm is None or not vm.usable:
-                    self._state.unhold(job, task)
+                    self._state.release_hold(job, task)
                 elif not vm.overcommitted and not self._must_wait(job):
                     self._starter.start_held(now, job, task)
             if not job.held:
--- a/src/poplaryard/fleet.py
+++ b/src/poplaryard/fleet.py
@@ -10,7 +10,7 @@
 __all__ = ["Fleet", "Vm"]
 
 # Sizes of work for which the largest fitting shape is remembered.
-ROOMIEST_KEPT = 4096
+SHAPE_CACHE_SIZE = 4096
 
 
 @dataclass(slots=True, eq=False)
@@ -29,7 +29,7 @@
         Whether the worker has accepted the current epoch and answers.
     leaving : bool
         Whether the VM list or a ticket (`listed_leaving`) or the worker itself
-        (`says_leaving`) says that the VM leaves.
+        (`reported_leaving`) says that the VM leaves.
     ejected : bool
         Whether the worker gets no work because its starts fail.
     clock_ms : int
@@ -47,7 +47,7 @@
     claimed: bool = False
     leaving: bool = False
     listed_leaving: bool = False
-    says_leaving: bool = False
+    reported_leaving: bool = False
     ejected: bool = False
     clock_ms: int = 0
     clock_at: float = 0.0
@@ -86,7 +86,7 @@
         self.racks: dict[str, dict[str, Vm]] = {}
         self._rack_names: list[str] = []
         self._shapes: dict[tuple[str, Resources], int] = {}
-        self._roomiest: dict[tuple[Resources, str], Resources | None] = {}
+        self._largest_shapes: dict[tuple[Resources, str], Resources | None] = {}
         self.index: CapacityIndex[Vm] = CapacityIndex()
         self.total = ZERO
         self.used = ZERO
@@ -186,7 +186,7 @@
         vm.free -= amount
         self.refresh(vm)
 
-    def unhold(self, name: str, hold_id: str) -> Resources:
+    def release_hold(self, name: str, hold_id: str) -> Resources:
         """Give a held amount back and return it."""
         vm = self.vms.get(name)
         if vm is None or hold_id not in vm.holds:
@@ -211,18 +211,18 @@
             totals[group] = totals.get(group, ZERO) + shape.times(count)
         return totals
 
-    def roomiest(self, need: Resources, group: str = "") -> Resources | None:
+    def largest_shape(self, need: Resources, group: str = "") -> Resources | None:
         """Return the largest shape that holds `need`, or None if none does."""
         key = need, group
-        if key not in self._roomiest:
-            if len(self._roomiest) >= ROOMIEST_KEPT:
-                self._roomiest.clear()
+        if key not in self._largest_shapes:
+            if len(self._largest_shapes) >= SHAPE_CACHE_SIZE:
+                self._largest_shapes.clear()
             fitting = [shape for shape in self.shapes(group) if need.fits_in(shape)]
-            self._roomiest[key] = max(fitting, key=_size, default=None)
-        return self._roomiest[key]
+            self._largest_shapes[key] = max(fitting, key=_size, default=None)
+        return self._largest_shapes[key]
 
     def _count_shape(self, spec: VmSpec, step: int) -> None:
-        self._roomiest.clear()
+        self._largest_shapes.clear()
         key = spec.group, spec.capacity
         self._shapes[key] = self._shapes.get(key, 0) + step
         if not self._shapes[key]:
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -137,7 +137,7 @@
         now: float,
         *,
         refused: bool = False,
-        other_life: bool = False,
+        other_instance: bool = False,
         fenced: bool = False,
     ) -> None:
         """Process a failed renewal of a worker's leases."""
@@ -150,9 +150,9 @@
             )
         worker.reachable = False
         worker.refused = refused
-        if other_life or (refused and worker.info.draining and not worker.listed):
+        if other_instance or (refused and worker.info.draining and not worker.listed):
             self._mark_gone(
-                worker, "another life answered" if other_life else "left", now
+                worker, "another life answered" if other_instance else "left", now
             )
 
     def hold_answered(
