--- a/src/poplaryard/platform/services.py
+++ b/src/poplaryard/platform/services.py
@@ -21,7 +21,7 @@
 _OUTCOMES = {
     200: StartOutcome.STARTED,
     400: StartOutcome.INVALID,
-    421: StartOutcome.WRONG_LIFE,
+    421: StartOutcome.WRONG_INSTANCE,
     429: StartOutcome.UNHEALTHY,
     503: StartOutcome.UNHEALTHY,
 }
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -365,7 +365,7 @@
     NO_ROOM = "no room"
     BAD_TICKET = "bad ticket"
     UNHEALTHY = "unhealthy"
-    WRONG_LIFE = "other life of the worker"
+    WRONG_INSTANCE = "other life of the worker"
     INVALID = "invalid"
     NOT_SENT = "not sent"
     IN_DOUBT = "in doubt"
--- a/src/poplaryard/workload/partition.py
+++ b/src/poplaryard/workload/partition.py
@@ -198,7 +198,7 @@
             self.fenced = True
         elif outcome is StartOutcome.BAD_TICKET:
             task.step.permits.pop(worker.worker_id, None)
-        elif outcome is StartOutcome.WRONG_LIFE:
+        elif outcome is StartOutcome.WRONG_INSTANCE:
             self._mark_gone(worker, "another life answered", now)
         elif outcome is StartOutcome.INVALID:
             task.not_before = now + REFUSED_PAUSE_S
