--- a/src/poplaryard/workload/ends.py
+++ b/src/poplaryard/workload/ends.py
@@ -7,9 +7,8 @@
 
 __all__ = ["RunEndHandler"]
 
-# Initial and maximum time for which a worker is ejected, which means that no task is
-# started on it, after runs of several jobs failed there, in seconds. The time doubles
-# with each ejection.
+# A worker on which runs of several jobs failed is ejected: no task is started on it for
+# some time. Initial and maximum time in seconds; it doubles with each ejection.
 EJECT_S = 2.0
 EJECT_MAX_S = 16.0
 # Number of different jobs that must fail on a worker, without a success in between, for
@@ -143,7 +142,7 @@
         worker.failed_jobs.clear()
 
     def _stop_gang(self, task: Task, number: int, now: float) -> None:
-        """Stop the other runs of a gang, unless the gang is done."""
+        """Stop the members' runs with this number, unless the gang is done."""
         if task.done:
             return
         for member in task.step.tasks:
--- a/src/poplaryard/workload/jobtable.py
+++ b/src/poplaryard/workload/jobtable.py
@@ -19,8 +19,8 @@
 # A job is starved once none of its tasks has run for this many seconds while less than
 # this share of the group's capacity is in use. It then comes first, and may use room
 # that was reserved for too long. Otherwise urgent steps that wait for room or advice
-# would block it; users count a job as lost after three seconds without a run while half
-# of the group is idle.
+# would block it. By the users' requirements, a job that gets nothing for three seconds
+# while half of the group is idle counts as lost.
 STARVED_S = 1.5
 IDLE_SHARE = 0.55
 # Replaces the priority of a starved job; comes before the most urgent priority, 0.
@@ -306,7 +306,10 @@
         return used / total if total else 1.0
 
     def take_progress(self) -> ProgressBatch:
-        """Return the progress to write; call `progress_written` once that succeeded."""
+        """Return the progress to write.
+
+        Call `progress_written` or `progress_not_written` with it afterwards.
+        """
         jobs = [self.jobs[job_id] for job_id in self._dirty if job_id in self.jobs]
         self._dirty.clear()
         self.progress_urgent = False
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -8,7 +8,6 @@
 
 __all__ = [
     "AdviceCost",
-    "RunOutcome",
     "EndedRun",
     "HoldReport",
     "JobSpec",
@@ -16,6 +15,7 @@
     "Progress",
     "Queue",
     "QueueTable",
+    "RunOutcome",
     "RunningRun",
     "StartOutcome",
     "StepSpec",
--- a/src/poplaryard/workload/partition.py
+++ b/src/poplaryard/workload/partition.py
@@ -20,18 +20,18 @@
 from .room import plan_room
 from .runtime import Run, RunPhase, StepRun, Task, Worker
 
-__all__ = ["AdviceRequest", "ProgressBatch", "Partition", "StartOrder", "StopOrder"]
+__all__ = ["AdviceRequest", "Partition", "ProgressBatch", "StartOrder", "StopOrder"]
 
 # Time after which an unanswered order is no longer carried out, in seconds: the
 # platform documents a delay of up to 12.
 LATE_ORDER_S = 12.5
 # Time after which an order to stop a run is repeated, in seconds.
 STOP_RETRY_S = 0.6
-# Pause of a worker after a start that it refused or that failed, in seconds.
+# Time without starts on a worker after a start that was refused or failed, in seconds.
 REFUSED_PAUSE_S = 0.5
 # A run has stalled if its percentage has not changed for this many seconds plus this
-# share of its estimate. The share allows for whole percentages, which change slowly in
-# long runs.
+# share of its estimate. The share is there because workers report whole percentages,
+# which change slowly in long runs.
 STALL_S = 2.5
 STALL_SHARE = 0.03
 # A run is a straggler once it has taken this share of its estimate and is expected to
@@ -199,7 +199,7 @@
         elif outcome is StartOutcome.BAD_TICKET:
             task.step.permits.pop(worker.worker_id, None)
         elif outcome is StartOutcome.WRONG_INSTANCE:
-            self._mark_gone(worker, "another life answered", now)
+            self._mark_gone(worker, "another instance answered", now)
         elif outcome is StartOutcome.INVALID:
             task.not_before = now + REFUSED_PAUSE_S
         elif outcome is not StartOutcome.OLD_RUN:
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -16,7 +16,7 @@
 
 
 def _tasks_if_silent(worker: Worker, now: float) -> tuple[str, ...] | None:
-    """Return the tasks that an unresponsive worker may run, or None if unknown."""
+    """Return all tasks that a worker may run if it is unresponsive, else None."""
     known = worker.synced and not worker.unadopted
     if worker.reachable or not known or now <= worker.clock_at + SILENT_S:
         return None
@@ -140,7 +140,17 @@
         other_instance: bool = False,
         fenced: bool = False,
     ) -> None:
-        """Process a failed renewal of a worker's leases."""
+        """Process a failed renewal of a worker's leases.
+
+        Parameters
+        ----------
+        refused : bool
+            Whether the connection was refused.
+        other_instance : bool
+            Whether another instance of the worker, or another worker, answered.
+        fenced : bool
+            Whether the worker has seen a higher fencing token.
+        """
         if fenced:
             self.fenced = True
         if worker.reachable:
@@ -152,7 +162,7 @@
         worker.refused = refused
         if other_instance or (refused and worker.info.draining and not worker.listed):
             self._mark_gone(
-                worker, "another life answered" if other_instance else "left", now
+                worker, "another instance answered" if other_instance else "left", now
             )
 
     def hold_answered(
--- a/src/poplaryard/workload/room.py
+++ b/src/poplaryard/workload/room.py
@@ -13,7 +13,7 @@
 from . import placing
 from .runtime import Run, RunPhase, StepRun, Worker
 
-__all__ = ["Reservations", "Plan", "plan_room"]
+__all__ = ["Plan", "Reservations", "plan_room"]
 
 # Room is reserved only if it is expected to be free within this many seconds: a longer
 # reservation costs more than it gains.
--- a/src/poplaryard/workload/runtime.py
+++ b/src/poplaryard/workload/runtime.py
@@ -11,9 +11,9 @@
 
 # Fraction by which a worker's monotonic clock may run slow.
 CLOCK_DRIFT = 0.02
-# A job that misses its objective is late; once this many further objectives have
-# passed, its result is of no use to the caller. Users count jobs up to three objectives
-# in all.
+# A job that misses its objective is late. Once this many further objectives have
+# passed, its result is of no use to the caller: by the users' requirements, a job counts
+# if it ends within three objectives in all.
 LATE_FACTOR = 2.0
 # Added to the time at which a worker's leases must have expired, in seconds: the worker
 # checks its leases, and reports the ended runs, slightly later.
@@ -33,7 +33,10 @@
 
 
 class RunPhase(enum.Enum):
-    """State of a run as known to its owner."""
+    """State of a run as known to its owner.
+
+    A run is in doubt if the order to start it was not answered; it is then stopped.
+    """
 
     SENDING = "sending"
     RUNNING = "running"
