--- a/src/poplaryard/workload/runtime.py
+++ b/src/poplaryard/workload/runtime.py
@@ -12,8 +12,8 @@
 # Fraction by which a worker's monotonic clock may run slow.
 CLOCK_DRIFT = 0.02
 # A job that misses its objective is late. Once this many further objectives have
-# passed, its result is of no use to the caller: by the users' requirements, a job counts
-# if it ends within three objectives in all.
+# passed, its result is of no use to the caller: by the users' requirements, a job
+# counts if it ends within three objectives in all.
 LATE_FACTOR = 2.0
 # Added to the time at which a worker's leases must have expired, in seconds: the worker
 # checks its leases, and reports the ended runs, slightly later.
--- a/tests/workload/builders.py
+++ b/tests/workload/builders.py
@@ -1,4 +1,4 @@
-"""Builders of jobs, workers and reports."""
+"""Builders of jobs, workers and reports for tests, with default values."""
 
 from poplaryard.resources import Resources
 from poplaryard.workload.model import (
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -1,4 +1,4 @@
-"""Workers and a store in memory for tests of the workload package."""
+"""Simulated workers, a simulated group and an in-memory store for tests."""
 
 import asyncio
 import copy
@@ -15,13 +15,15 @@
 from poplaryard.workload.storage import Change, Item
 from tests.workload.builders import report, worker_info
 
-DRIFT_S = 50.0
+# Difference between the workers' clocks and the owner's, in seconds.
+CLOCK_OFFSET_S = 50.0
 
 
 class SimWorker:
-    """Worker of the platform's protocol in virtual time.
+    """Worker that follows the platform's protocol in virtual time.
 
-    ``hang`` lets its tasks stand still, ``fail`` lets them fail, ``cut`` silences it.
+    With ``hang`` its tasks make no progress, with ``fail`` they fail, and with ``cut``
+    it is unreachable. ``slowness`` is a factor on run times.
     """
 
     def __init__(self, info):
@@ -36,7 +38,7 @@
         self.started = []
 
     def clock(self, now):
-        return now + DRIFT_S
+        return now + CLOCK_OFFSET_S
 
     def start(self, run, estimate_s, now, fence, deadline):
         if fence < self.fence:
@@ -73,13 +75,13 @@
         self.fence = fence
         self.deadline = max(self.deadline, deadline or 0.0)
         self.ended = [end for end in self.ended if end.seq > acknowledged]
-        rows = []
+        running_runs = []
         for (task, number), (began, ends_at) in self.runs.items():
             share = 0 if self.hang else (now - began) / max(ends_at - began, 1e-9)
-            rows.append(RunningRun(task, number, "", int(100 * share)))
+            running_runs.append(RunningRun(task, number, "", int(100 * share)))
         return report(
             self.clock(now),
-            running=rows,
+            running=running_runs,
             ended=self.ended,
             born_ms=self.info.born_ms,
         )
@@ -91,8 +93,11 @@
     return next(partition.advice_wanted(now, lambda cost_s: True), None)
 
 
-class Cell:
-    """Partition with simulated workers, driven in virtual time."""
+class SimulatedGroup:
+    """Partition with simulated workers, driven in virtual time.
+
+    ``good`` holds the workers that advice permits; None stands for all.
+    """
 
     def __init__(self, workers=2, fence=7, now=100.0, sims=None, **fields):
         self.now = now
@@ -115,7 +120,7 @@
         return self.partition.add_job(spec, self.now, fresh, progress)
 
     def run(self, seconds, step_s=0.05):
-        """Let time pass; hold, decide and carry out orders in each step."""
+        """Advance the time in steps; renew leases and carry out orders in each."""
         until = self.now + seconds
         while self.now < until:
             self.step()
@@ -180,7 +185,7 @@
         self.partition.start_answered(run, outcome, self.now)
 
     def starts(self, task=None):
-        """Return (worker, task, run) of all starts, or of one task's."""
+        """Return worker, task and run number of all starts, or of those of one task."""
         return [
             (sim.info.worker_id, *run)
             for sim in self.sims.values()
@@ -190,10 +195,11 @@
 
 
 class MemoryStorage:
-    """Storage in memory.
+    """In-memory `Storage` that can inject faults.
 
-    ``faults`` lists "down", "lost" (done, no reply), "dropped" (not done, no reply) or
-    "late" (no reply, done by `deliver`) by method.
+    ``faults`` maps methods to the faults of their next calls: "down" (not done, and
+    reported so), "lost" (done, no reply), "dropped" (not done, no reply) or "late" (no
+    reply, done by `deliver`).
     """
 
     def __init__(self):
@@ -276,7 +282,7 @@
         return self.revision
 
     async def deliver(self):
-        """Carry out the late writes, if their conditions still hold."""
+        """Carry out the late writes whose expectations still hold."""
         late, self._late = self._late, []
         return [await self.commit(transaction) for transaction in late]
 
--- a/tests/workload/test_acceptance.py
+++ b/tests/workload/test_acceptance.py
@@ -15,8 +15,8 @@
     return asyncio.run(run())
 
 
-def test_jobs_that_come_together_share_transactions():
-    """Pattern: a burst of submissions costs few calls of the store."""
+def test_jobs_submitted_together_share_transactions():
+    """Guards against one call to the store per job in a burst of submissions."""
     storage = MemoryStorage()
     specs = [job(f"{number:016x}") for number in range(40)]
     assert set(submit_all(storage, specs)) == {SubmitOutcome.STORED}
@@ -42,32 +42,32 @@
 
 
 def test_lost_reply_is_never_a_refusal():
-    """Guards against "not accepted" for a job that lies in the store."""
+    """Guards against telling a caller that a stored job was refused."""
     storage = MemoryStorage()
     storage.faults["commit"] = ["lost"]
     assert submit_all(storage, [job()]) == [SubmitOutcome.UNKNOWN]
     assert submit_all(storage, [job()]) == [SubmitOutcome.STORED]
 
 
-def test_owner_is_told_of_jobs_only_once_they_are_stored():
-    """Guards against a start of a job that a caller is told was refused."""
+def test_owner_is_notified_of_jobs_only_once_they_are_stored():
+    """Guards against a start of a job that the caller was told was refused."""
 
     async def run():
         storage = MemoryStorage()
         storage.faults["commit"] = ["down", "lost"]
-        told = []
-        acceptance = Acceptance(storage, lambda specs, revision: told.append(specs))
+        notified = []
+        acceptance = Acceptance(storage, lambda specs, revision: notified.append(specs))
         await acceptance.submit(job("a" * 16))
         await acceptance.submit(job("b" * 16))
-        assert told == []
+        assert notified == []
         await acceptance.submit(job("c" * 16))
-        assert [[spec.job_id for spec in specs] for specs in told] == [["c" * 16]]
+        assert [[spec.job_id for spec in specs] for specs in notified] == [["c" * 16]]
 
     asyncio.run(run())
 
 
-def test_write_without_an_answer_is_repeated_while_the_caller_waits():
-    """Pattern: the store resets connections, and clients use up their tries."""
+def test_write_with_a_lost_reply_is_repeated_while_the_caller_waits():
+    """Guards against clients that run out of retries when connections are reset."""
     for fault in ("lost", "dropped"):
         storage = MemoryStorage()
         storage.faults["commit"] = [fault, "down", fault]
@@ -75,8 +75,8 @@
         assert len(storage.items) == 1
 
 
-def test_job_in_doubt_is_not_refused_and_does_not_hold_others_up():
-    """Guards against "never runs" for a job that may lie in the store."""
+def test_job_in_doubt_is_not_refused_and_does_not_delay_others():
+    """Guards against telling a caller that a job was refused when it may be stored."""
 
     async def run():
         storage = MemoryStorage()
@@ -92,8 +92,8 @@
     asyncio.run(run())
 
 
-def test_process_that_is_cut_off_answers_at_once():
-    """Guards against callers held by a process that can't serve them."""
+def test_isolated_process_answers_at_once():
+    """Guards against callers that wait for a process that can't serve them."""
 
     async def run():
         storage = MemoryStorage()
--- a/tests/workload/test_relay.py
+++ b/tests/workload/test_relay.py
@@ -12,7 +12,7 @@
 
 
 class PeerClient:
-    """Client whose only peer answers from ``storage``; ``lost`` drops its replies."""
+    """Client of one peer that uses ``storage``; with ``lost``, its replies are lost."""
 
     def __init__(self, storage):
         self.storage = storage
@@ -25,31 +25,36 @@
         return RawReply(200, answer)
 
 
-class Relayed:
+class RelayFixture:
+    """`RelayedStorage` with one peer, whose store is ``store``.
+
+    Direct calls go to ``direct``, which `reject_direct_calls` lets fail.
+    """
+
     def __init__(self):
         self.store = MemoryStorage()
-        self.cut_off = MemoryStorage()
+        self.direct = MemoryStorage()
         self.client = PeerClient(self.store)
         self.clock = VirtualClock()
         self.storage = RelayedStorage(
-            self.cut_off, self.client, lambda: ["10.0.0.1:1"], self.clock
+            self.direct, self.client, lambda: ["10.0.0.1:1"], self.clock
         )
 
-    def turn_away(self, fault="down"):
+    def reject_direct_calls(self, fault="down"):
         for call in ("get", "scan", "watch", "commit", "grant", "renew", "revoke"):
-            self.cut_off.faults[call] = [fault] * 50
+            self.direct.faults[call] = [fault] * 50
 
 
 def put(key, value, expected=0):
     return Transaction({key: expected}, [(key, value, 0)])
 
 
-def test_process_that_the_store_turns_away_calls_it_through_a_peer():
-    """Guards against refusing work that a peer could store."""
+def test_process_rejected_by_the_store_calls_it_through_a_peer():
+    """Guards against refusing a job that a peer could store."""
 
     async def run():
-        relayed = Relayed()
-        relayed.turn_away()
+        relayed = RelayFixture()
+        relayed.reject_direct_calls()
         storage = relayed.storage
         revision = await storage.commit(put("k", b"\x00value"))
         assert (await storage.get("k")).value == b"\x00value"
@@ -66,12 +71,12 @@
     asyncio.run(run())
 
 
-def test_write_without_an_answer_is_not_repeated_through_a_peer():
-    """Guards against "not stored" for a write that may be carried out later."""
+def test_write_with_a_lost_reply_is_not_repeated_through_a_peer():
+    """Guards against reporting a write as failed that may still be carried out."""
 
     async def run():
-        relayed = Relayed()
-        relayed.turn_away("dropped")
+        relayed = RelayFixture()
+        relayed.reject_direct_calls("dropped")
         with pytest.raises(StoreReplyLost):
             await relayed.storage.commit(put("k", b"v"))
         assert not relayed.store.items
@@ -82,12 +87,12 @@
     asyncio.run(run())
 
 
-def test_store_that_is_down_for_all_is_asked_through_peers_only_now_and_then():
-    """Pattern: an outage of the store must not multiply the calls."""
+def test_relayed_calls_pause_while_the_store_is_down_for_all():
+    """Guards against an outage of the store that multiplies the calls to it."""
 
     async def run():
-        relayed = Relayed()
-        relayed.turn_away()
+        relayed = RelayFixture()
+        relayed.reject_direct_calls()
         relayed.store.faults["get"] = ["down"] * 50
         for _ in range(20):
             with pytest.raises(StoreDown):
@@ -101,53 +106,53 @@
     asyncio.run(run())
 
 
-def test_writes_do_not_find_out_whether_the_store_is_back():
-    """Pattern: a process is cut off from the store, and each try takes a second."""
+def test_writes_do_not_probe_the_direct_connection():
+    """Guards against writes that each wait for a store that can't be reached."""
 
     async def run():
-        relayed = Relayed()
-        relayed.turn_away()
+        relayed = RelayFixture()
+        relayed.reject_direct_calls()
         await relayed.storage.get("k")
         for number in range(5):
             relayed.clock.advance(1.0)
             await relayed.storage.commit(put(f"k{number}", b"v"))
-        assert relayed.cut_off.calls.count("commit") == 0
+        assert relayed.direct.calls.count("commit") == 0
 
     asyncio.run(run())
 
 
-def test_write_goes_on_to_the_next_peer_if_one_cannot_be_reached():
-    """Guards against a job in doubt for a call that was certainly never sent."""
+def test_write_tries_the_next_peer_if_one_is_unreachable():
+    """Guards against treating a call that was never sent as in doubt."""
 
     async def run():
-        relayed = Relayed()
-        relayed.turn_away()
-        reached = relayed.client.raw
-        gone = set()
+        relayed = RelayFixture()
+        relayed.reject_direct_calls()
+        call_peer = relayed.client.raw
+        unreachable = set()
 
         async def raw(method, url, body, timeout_s, headers=None):
-            if not gone or url in gone:
-                gone.add(url)
+            if not unreachable or url in unreachable:
+                unreachable.add(url)
                 raise PoplaryardError(Code.PEER_UNREACHABLE)
-            return await reached(method, url, body, timeout_s, headers)
+            return await call_peer(method, url, body, timeout_s, headers)
 
         relayed.client.raw = raw
         relayed.storage._peers = lambda: ["10.0.0.1:1", "10.0.0.2:1"]
         assert isinstance(await relayed.storage.commit(put("k", b"v")), int)
-        # The peer that answered is asked first from now on.
+        # The peer that answered is called first from now on.
         for number in range(8):
             await relayed.storage.commit(put(f"k{number}", b"v"))
-        assert len(gone) == 1
+        assert len(unreachable) == 1
 
     asyncio.run(run())
 
 
-def test_store_that_answers_nobody_is_away_until_a_call_succeeds():
-    """Pattern: the store is silent for all, and callers must not be held for it."""
+def test_store_is_unreachable_until_a_call_succeeds():
+    """Guards against callers that wait while the store answers no process."""
 
     async def run():
-        relayed = Relayed()
-        relayed.turn_away("dropped")
+        relayed = RelayFixture()
+        relayed.reject_direct_calls("dropped")
         await relayed.storage.get("k")
         assert not relayed.storage.store_unreachable
         relayed.store.faults["get"] = ["dropped"] * 3
@@ -162,7 +167,7 @@
         with pytest.raises(StoreDown):
             await relayed.storage.get("k")
         assert relayed.storage.store_unreachable
-        relayed.cut_off.faults.clear()
+        relayed.direct.faults.clear()
         relayed.clock.advance(1.0)
         await relayed.storage.get("k")
         assert not relayed.storage.store_unreachable
@@ -170,16 +175,16 @@
     asyncio.run(run())
 
 
-def test_direct_calls_come_back():
+def test_direct_calls_resume_after_a_pause():
     async def run():
-        relayed = Relayed()
-        relayed.cut_off.faults["get"] = ["down"]
+        relayed = RelayFixture()
+        relayed.direct.faults["get"] = ["down"]
         await relayed.storage.get("k")
         await relayed.storage.get("k")
-        assert relayed.cut_off.calls.count("get") == 1
+        assert relayed.direct.calls.count("get") == 1
         relayed.clock.advance(1.1)
         await relayed.storage.get("k")
         await relayed.storage.get("k")
-        assert relayed.cut_off.calls.count("get") == 3
+        assert relayed.direct.calls.count("get") == 3
 
     asyncio.run(run())
