--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -231,7 +231,7 @@
     Attributes
     ----------
     done : dict of str to list of int
-        Indices of finished tasks by occurrence and step ("K.STEP").
+        Indices of finished tasks by occurrence and step ("OCCURRENCE.STEP").
     failures : dict of str to list of int
         Numbers of failed runs by task, or by step for a gang. A count would not do:
         a worker can list the same failed run again, which must count only once.
