--- a/src/poplaryard/workload/acceptance.py
+++ b/src/poplaryard/workload/acceptance.py
@@ -74,8 +74,9 @@
     Attributes
     ----------
     isolated : bool
-        Whether the process has lost contact with the store: new jobs are refused and
-        lost writes are not repeated, so that callers can turn to another process.
+        Whether the process reaches neither the store nor other data centres: new jobs
+        are refused and lost writes are not repeated, so that callers can turn to
+        another process.
     """
 
     def __init__(self, storage: Storage, on_stored: OnStored):
@@ -85,18 +86,20 @@
         self._waiting: deque[_Submission] = deque()
         self._commits: set[asyncio.Task[None]] = set()
 
-    async def submit(self, spec: JobSpec, retry_for_s: float = 0.0) -> SubmitOutcome:
+    async def submit(self, spec: JobSpec, retry_window_s: float = 0.0) -> SubmitOutcome:
         """Store a job; an id that is stored already counts as the same job.
 
         Parameters
         ----------
-        retry_for_s : float
+        retry_window_s : float
             Time for which a write whose reply was lost may be repeated, in seconds.
         """
         if self.isolated or len(self._waiting) >= MAX_WAITING:
             return SubmitOutcome.REFUSED
         loop = asyncio.get_running_loop()
-        submission = _Submission(spec, loop.create_future(), loop.time() + retry_for_s)
+        submission = _Submission(
+            spec, loop.create_future(), loop.time() + retry_window_s
+        )
         self._waiting.append(submission)
         self._start_commits()
         return await submission.fut
--- a/tests/workload/test_acceptance.py
+++ b/tests/workload/test_acceptance.py
@@ -6,10 +6,10 @@
 from tests.workload.fakes import MemoryStorage
 
 
-def submit_all(storage, specs, retry_for_s=0.0):
+def submit_all(storage, specs, retry_window_s=0.0):
     async def run():
         acceptance = Acceptance(storage, lambda specs, revision: None)
-        jobs = (acceptance.submit(spec, retry_for_s) for spec in specs)
+        jobs = (acceptance.submit(spec, retry_window_s) for spec in specs)
         return await asyncio.gather(*jobs)
 
     return asyncio.run(run())
