--- a/tests/workload/test_room.py
+++ b/tests/workload/test_room.py
@@ -63,7 +63,7 @@
 
 
 def test_under_overload_half_of_the_jobs_are_in_time_and_all_finish():
-    """Guards against serving late jobs first, which makes all jobs late.
+    """Guards against serving late jobs first, which makes most jobs late.
 
     The burst is three times the capacity.
     """
