--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -355,13 +355,13 @@
         A later owner waits for all that are listed.
         """
         partition = t.cast(Partition, self.partition)
-        if self._known_workers != partition.may_hold_work(self._clock.now()):
+        if self._known_workers != partition.possible_run_holders(self._clock.now()):
             await self._write_workers(set())
 
     async def _write_workers(self, added: set[str]) -> bool:
         partition = t.cast(Partition, self.partition)
         async with self._listing:
-            wanted = partition.may_hold_work(self._clock.now())
+            wanted = partition.possible_run_holders(self._clock.now())
             for name in added:
                 found = wanted.get(name, Suspect())
                 wanted[name] = Suspect(found.address, found.draining)
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -84,7 +84,7 @@
             self._run_lost(run, now, reason)
         worker.unadopted.clear()
 
-    def may_hold_work(self, now: float) -> dict[str, Suspect]:
+    def possible_run_holders(self, now: float) -> dict[str, Suspect]:
         """Return the workers that may hold runs, to be recorded for the next owner."""
         found = {
             worker.worker_id: Suspect(
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -127,7 +127,7 @@
             self.now += step_s
 
     def step(self):
-        self.partition.allow_starts_on(self.partition.may_hold_work(self.now))
+        self.partition.allow_starts_on(self.partition.possible_run_holders(self.now))
         for sim in self.sims.values():
             sim.advance(self.now)
             worker = self.partition.workers.get(sim.info.worker_id)
--- a/tests/workload/test_backlog_cost.py
+++ b/tests/workload/test_backlog_cost.py
@@ -60,7 +60,7 @@
     """Guards against a search per step when one worker becomes free in a burst."""
     group = full_group()
     group.add_worker(worker_info(WORKERS, cpu=4000, address="10.0.2.1:80"))
-    group.partition.allow_starts_on(group.partition.may_hold_work(group.now))
+    group.partition.allow_starts_on(group.partition.possible_run_holders(group.now))
     group._advise = lambda: None
     group.step()
     checks.clear()
--- a/tests/workload/test_partition.py
+++ b/tests/workload/test_partition.py
@@ -346,7 +346,7 @@
     holder = old.starts()[0][0]
     old.sims[holder].cut = True
     old.run(1.5)
-    suspects = old.partition.may_hold_work(old.now)
+    suspects = old.partition.possible_run_holders(old.now)
     assert suspects[holder].tasks == (f"{JOB}.0.0.0",)
     new = SimulatedGroup(
         fence=9,
