--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -295,7 +295,7 @@
             deadline = None
             if reachable:
                 deadline = worker.clock_now(sent_at) + self._limits.hold_s
-                worker.granted_s = max(worker.granted_s, deadline)
+                worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
             acked = worker.acked_seq
             wait_s = HOLD_WAIT_S if reachable and worker.synced else 0.0
             try:
@@ -414,7 +414,7 @@
         worker = run.worker
         now = self._clock.now()
         deadline = worker.clock_now(now) + START_WINDOW_S
-        worker.granted_s = max(worker.granted_s, deadline)
+        worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
         self._orders_in_flight += 1
         try:
             outcome = await self._calls.start(
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -69,7 +69,7 @@
         worker.seen_seq = 0
         worker.acked_seq = 0
         worker.clock_s = 0.0
-        worker.granted_s = 0.0
+        worker.latest_deadline_s = 0.0
         worker.synced = False
 
     def _mark_gone(self, worker: Worker, reason: str, now: float) -> None:
--- a/src/poplaryard/workload/runtime.py
+++ b/src/poplaryard/workload/runtime.py
@@ -73,7 +73,7 @@
         acknowledged because the result is stored.
     clock_s, clock_at : float
         Its monotonic clock, and the owner's time at which it was read, in seconds.
-    granted_s : float
+    latest_deadline_s : float
         Latest lease deadline that it may have been given, on its own clock.
     used : Resources
         Resources charged for its runs.
@@ -100,7 +100,7 @@
     acked_seq: int = 0
     clock_s: float = 0.0
     clock_at: float = 0.0
-    granted_s: float = 0.0
+    latest_deadline_s: float = 0.0
     runs: dict[tuple[str, int], "Run"] = field(default_factory=dict)
     used: Resources = ZERO
     unadopted: set[tuple[str, int]] = field(default_factory=set)
@@ -120,7 +120,7 @@
 
     def lapsed_at(self) -> float:
         """Return the time by which all leases it may hold have expired, in seconds."""
-        left = max(0.0, self.granted_s - self.clock_s)
+        left = max(0.0, self.latest_deadline_s - self.clock_s)
         return self.clock_at + left / (1 - CLOCK_DRIFT) + LAPSE_SLACK_S
 
     def usable(self, now: float) -> bool:
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -146,7 +146,7 @@
         deadline = None
         if worker.reachable:
             deadline = worker.clock_now(self.now) + 6.0
-            worker.granted_s = max(worker.granted_s, deadline)
+            worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
         try:
             answer = sim.hold(self.fence, worker.acked_seq, deadline, self.now)
         except WorkerUnreachable as exc:
