--- a/src/poplaryard/workload/membership.py
+++ b/src/poplaryard/workload/membership.py
@@ -45,7 +45,7 @@
         Id of the current lease; 0 for none.
     generation : int
         Number of leases that have been lost.
-    changed : asyncio.Event
+    granted : asyncio.Event
         Set when a lease is granted.
     """
 
@@ -64,7 +64,7 @@
         self.generation = 0
         self._valid_until = float("-inf")
         self._store_answers = True
-        self.changed = asyncio.Event()
+        self.granted = asyncio.Event()
 
     def has_lease(self) -> bool:
         """Return whether the lease is certainly valid now."""
@@ -98,7 +98,7 @@
         self.lease = lease
         self._valid_until = sent_at + LEASE_TTL_S - AUTHORITY_SLACK_S
         logger.info("lease granted", extra={"lease": lease})
-        self.changed.set()
+        self.granted.set()
         self._on_change()
 
     async def _renew(self, sent_at: float) -> None:
--- a/tests/workload/test_owner.py
+++ b/tests/workload/test_owner.py
@@ -55,7 +55,7 @@
         member = records.Member(process, "10.0.0.9:1")
         self.lease = ProcessLease(self.storage, CLOCK, member)
         self.lease_task = asyncio.create_task(self.lease.run())
-        await self.lease.changed.wait()
+        await self.lease.granted.wait()
         claim = records.Claim(process, "10.0.0.9:1")
         key = records.claim_key("desk")
         entry = (key, records.encode(claim), self.lease.lease)
