--- a/src/poplaryard/platform/codec.py
+++ b/src/poplaryard/platform/codec.py
@@ -179,7 +179,7 @@
         version=found.version,
         queues=tuple(_queue(route) for route in found.routes),
         groups=tuple(service.name for service in found.services if not service.spare),
-        guarded=frozenset(
+        capacity_checked=frozenset(
             service.name for service in found.services if service.admission_check
         ),
         max_body_bytes=found.limits.max_body_bytes,
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -100,14 +100,14 @@
 
     Attributes
     ----------
-    guarded : frozenset of str
+    capacity_checked : frozenset of str
         Groups whose workers reject tasks that exceed their capacity.
     """
 
     version: int = 0
     queues: tuple[Queue, ...] = ()
     groups: tuple[str, ...] = ()
-    guarded: frozenset[str] = frozenset()
+    capacity_checked: frozenset[str] = frozenset()
     max_body_bytes: int = 262144
 
     def find(self, host: str, path: str) -> Queue | None:
