--- a/src/poplaryard/admission.py
+++ b/src/poplaryard/admission.py
@@ -8,26 +8,28 @@
 from .messages import Work
 from .queues import class_of
 
-__all__ = ["Admission", "Verdict"]
+__all__ = ["Admission", "Decision"]
 
+# Largest part of a queue that one team may fill.
 _TEAM_SHARE = 1 / 3
 # Share of the time to its deadline that work may be expected to wait. The rest covers
 # its run time and the error of the estimate.
 _WAIT_SHARE = 0.5
-# A team below this part of an equal share of the queue is not shed: the wait expected
-# for the class is that of the teams that fill the queue.
+# Work of a team below this part of an equal share of the queue is not shed for a long
+# expected wait: that wait applies to the teams that fill the queue.
 _SMALL_PART = 0.5
-_SEEN_S = 2.0
+# A team counts as active for this time after it submitted work.
+_ACTIVE_TEAM_S = 2.0
 _RATE_WINDOW_S = 0.25
-# The highest rate is kept for a while: in calm times the rate of starts is that of
-# arrivals, which says nothing about how fast a queue would drain.
+# The highest rate decays slowly: at low load, starts are only as frequent as arrivals,
+# which does not tell how fast a queue would drain.
 _RATE_HALF_LIFE_S = 10.0
 _MIN_RETRY_S = 0.1
 _MAX_RETRY_S = 30.0
 
 
-class Verdict(t.NamedTuple):
-    """Result of an admission check; `retry_after_s` is 0 if no retry is worthwhile."""
+class Decision(t.NamedTuple):
+    """Result of an admission check; `retry_after_s` is 0 if a retry is pointless."""
 
     code: Code
     retry_after_s: float = 0.0
@@ -39,16 +41,16 @@
     Parameters
     ----------
     policy : Policy
-        Policy figures in force.
+        Current scheduling policy.
     """
 
     def __init__(self, policy: Policy):
         self._policy = policy
-        self._rates: dict[str, _Rate] = {}
-        self._teams: dict[str, _Teams] = {}
+        self._rates: dict[str, _StartRate] = {}
+        self._teams: dict[str, _RecentTeams] = {}
 
     def configure(self, policy: Policy) -> None:
-        """Take new policy figures."""
+        """Apply a new policy."""
         self._policy = policy
 
     def admit(
@@ -58,8 +60,8 @@
         depth: int,
         team_depth: int = 0,
         limit: int | None = None,
-    ) -> Verdict:
-        """Decide on one work.
+    ) -> Decision:
+        """Decide whether `work` is accepted.
 
         Parameters
         ----------
@@ -68,27 +70,29 @@
         team_depth : int
             Entries of the work's team in that class.
         limit : int or None
-            Bound of the class's queue; the policy's bound if None.
+            Largest number of entries of the class; the policy's limit if None.
         """
         if work.deadline <= now:
-            return Verdict(Code.EXPIRED)
+            return Decision(Code.EXPIRED)
         bound = self._policy.queue_limit if limit is None else limit
         if depth >= bound or team_depth >= max(1, int(bound * _TEAM_SHARE)):
-            return Verdict(Code.QUEUE_FULL, self._retry_after_s(now, work, depth))
-        teams = self._teams.setdefault(class_of(work), _Teams()).seen(now, work.team)
+            return Decision(Code.QUEUE_FULL, self._retry_after_s(now, work, depth))
+        teams = self._teams.setdefault(class_of(work), _RecentTeams()).add(
+            now, work.team
+        )
         if team_depth * teams < _SMALL_PART * depth:
-            return Verdict(Code.ACCEPTED)
+            return Decision(Code.ACCEPTED)
         expected_s = self.expected_wait_s(now, work, depth)
         if expected_s > _WAIT_SHARE * (work.deadline - now):
-            return Verdict(Code.QUEUE_FULL, self._retry_after_s(now, work, depth))
-        return Verdict(Code.ACCEPTED)
+            return Decision(Code.QUEUE_FULL, self._retry_after_s(now, work, depth))
+        return Decision(Code.ACCEPTED)
 
     def started(self, now: float, work: Work) -> None:
         """Record that work left its queue to run."""
-        self._rates.setdefault(class_of(work), _Rate()).add(now)
+        self._rates.setdefault(class_of(work), _StartRate()).add(now)
 
     def expected_wait_s(self, now: float, work: Work, depth: int) -> float:
-        """Return the wait at the present rate of starts; 0 if there is no rate yet."""
+        """Return the expected wait from the recent start rate; 0 if that is unknown."""
         rate = self._rates.get(class_of(work))
         per_s = rate.per_s(now) if rate else 0.0
         return depth / per_s if per_s else 0.0
@@ -98,23 +102,23 @@
         return min(_MAX_RETRY_S, max(_MIN_RETRY_S, expected_s))
 
 
-class _Teams:
-    """Teams of a class that submitted work of late."""
+class _RecentTeams:
+    """Teams of a class that submitted work recently."""
 
     def __init__(self) -> None:
         self._last: OrderedDict[str, float] = OrderedDict()
 
-    def seen(self, now: float, team: str) -> int:
-        """Note a team and return the number of teams."""
+    def add(self, now: float, team: str) -> int:
+        """Add a team and return the number of recent teams."""
         self._last[team] = now
         self._last.move_to_end(team)
-        while next(iter(self._last.values())) < now - _SEEN_S:
+        while next(iter(self._last.values())) < now - _ACTIVE_TEAM_S:
             self._last.popitem(last=False)
         return len(self._last)
 
 
-class _Rate:
-    """Highest recent rate of starts, over short windows."""
+class _StartRate:
+    """Highest recent rate of starts, measured over short windows."""
 
     def __init__(self) -> None:
         self._window = 0
@@ -122,14 +126,14 @@
         self._per_s = 0.0
 
     def add(self, now: float) -> None:
-        self._turn(now)
+        self._advance_window(now)
         self._count += 1
 
     def per_s(self, now: float) -> float:
-        self._turn(now)
+        self._advance_window(now)
         return self._per_s
 
-    def _turn(self, now: float) -> None:
+    def _advance_window(self, now: float) -> None:
         window = int(now / _RATE_WINDOW_S)
         if window == self._window:
             return
--- a/src/poplaryard/attempts.py
+++ b/src/poplaryard/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one shard, and what a worker's claim reply says about them."""
+"""Attempts of one shard, and which of them a claim reply or a lost worker ends."""
 
 import typing as t
 from dataclasses import replace
@@ -12,34 +12,49 @@
 from .resources import ZERO, Resources
 from .services import ReplicaPool
 
-__all__ = ["RESTART_S", "AttemptTable", "Fate", "fate", "lost_after"]
+__all__ = [
+    "RESTART_S",
+    "AttemptTable",
+    "MissingAttempts",
+    "classify_missing",
+    "lost_after",
+]
 
-# A reply is not on its way for longer than this, so that a smaller clock reading than
-# before then means that the worker was restarted.
+# Longest assumed delay of a reply. If a reply after a longer pause has a smaller clock
+# reading than the one before, the worker was restarted.
 RESTART_S = 10.0
 
 
-class Fate(t.NamedTuple):
-    """Attempts that a claimed worker does not report."""
+class MissingAttempts(t.NamedTuple):
+    """Attempts that a claimed worker does not report.
+
+    Attributes
+    ----------
+    lost : list of Attempt
+        Attempts that do not run any more, but may have run.
+    in_doubt : list of Attempt
+        Attempts that may be running.
+    """
 
     lost: list[Attempt]
     in_doubt: list[Attempt]
 
 
-def fate(now: float, attempts: t.Iterable[Attempt], reply: ClaimReply) -> Fate:
-    """Sort the attempts that a claim reply does not name by what became of them.
+def classify_missing(
+    now: float, attempts: t.Iterable[Attempt], reply: ClaimReply
+) -> MissingAttempts:
+    """Divide the attempts that a claim reply does not name into lost and in doubt.
 
     A reply written while the start was valid may be older than the start, even if the
     start has been confirmed since; the attempt stays in doubt until the next claim.
-    One that is not in doubt does not run any more, but may have run: a worker that was
-    restarted has forgotten its attempts.
+    A lost attempt may have run, since a restarted worker has forgotten its attempts.
     """
     named = {report.attempt_id for report in reply.attempts}
-    found = Fate([], [])
+    found = MissingAttempts([], [])
     for attempt in attempts:
         if attempt.attempt_id in named:
             continue
-        # The clock of a restarted worker may have begun anew.
+        # The clock of a restarted worker may have begun at zero again.
         restarted = now > attempt.latest_start + RESTART_S
         over = restarted or reply.clock_ms > attempt.valid_until_ms
         (found.lost if over else found.in_doubt).append(attempt)
@@ -49,10 +64,10 @@
 def lost_after(attempt: Attempt, lost_at: float) -> float:
     """Return the time at which an attempt on an unreachable worker has ended.
 
-    Its lease was renewed at `lost_at`, or began with a late start. A renewal that was
-    sent before `lost_at` may be read later, as long as the authority it was sent under
-    is valid. Only an exclusive key must wait for that too: idempotent work may run
-    twice, and other work is not run again.
+    At the latest, its lease was renewed at `lost_at`, or began with a start read at
+    `latest_start`. A renewal sent before `lost_at` may be read later, as long as the
+    authority under which it was sent is valid. Only work with an exclusive key must
+    wait for that too: idempotent work may run twice, and other work is not run again.
     """
     begun = lost_at if attempt.confirmed else max(lost_at, attempt.latest_start)
     late_s = LEASE_TTL_S if attempt.work.exclusive_key else 0.0
@@ -65,11 +80,11 @@
     Attributes
     ----------
     keys : dict of str to int
-        Attempts in progress by exclusive key.
+        Number of attempts in progress by exclusive key.
     freed_keys : list of str
-        Exclusive keys that became free since they were last looked at.
+        Exclusive keys that became free since `Backlog` last read this list.
     preemptible : dict of str to int
-        Attempts that may be preempted by VM.
+        Number of preemptible attempts by VM.
     """
 
     def __init__(self, fleet: Fleet, pools: dict[str, ReplicaPool], quotas: Quotas):
@@ -96,16 +111,16 @@
         return [self._attempts[attempt_id] for attempt_id in vm.charges]
 
     def add(self, vm: Vm, attempt: Attempt, amount: Resources) -> None:
-        """Charge an attempt to its VM, and to its executor if it has one."""
+        """Add an attempt and charge it to its VM, team and executor."""
         self._attempts[attempt.attempt_id] = attempt
         self._fleet.charge(vm, attempt.attempt_id, amount)
         attempt.charged = amount
         if amount != ZERO:
             self._quotas.charge(attempt.work.team, amount)
         if attempt.work.exclusive_key:
-            _count(self.keys, attempt.work.exclusive_key, 1)
+            _adjust(self.keys, attempt.work.exclusive_key, 1)
         if attempt.preemptible:
-            _count(self.preemptible, vm.name, 1)
+            _adjust(self.preemptible, vm.name, 1)
         pool = self._pools.get(attempt.work.target)
         if pool is None:
             return
@@ -115,15 +130,15 @@
             pool.take(attempt.executor)
 
     def set_work(self, attempt: Attempt, work: Work) -> None:
-        """Take the whole request of an attempt that an earlier owner started."""
+        """Set the complete request of an attempt that an earlier owner started."""
         if attempt.preemptible:
-            _count(self.preemptible, attempt.vm, -1)
+            _adjust(self.preemptible, attempt.vm, -1)
         attempt.work = replace(work, exclusive_key=attempt.work.exclusive_key)
         if attempt.preemptible:
-            _count(self.preemptible, attempt.vm, 1)
+            _adjust(self.preemptible, attempt.vm, 1)
 
     def confirm(self, now: float, attempt: Attempt) -> bool:
-        """Note that the worker started an attempt; return False if that was known."""
+        """Record that a worker confirmed a start; return False if that was known."""
         if attempt.confirmed:
             return False
         attempt.confirmed_at = now
@@ -133,7 +148,7 @@
         return True
 
     def end(self, attempt_id: str) -> Attempt | None:
-        """Release what an attempt held; None if it has ended before."""
+        """Remove an attempt and release its charges; None if it ended before."""
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return None
@@ -141,11 +156,11 @@
         if attempt.charged != ZERO:
             self._quotas.release(attempt.work.team, attempt.charged)
         if attempt.work.exclusive_key:
-            _count(self.keys, attempt.work.exclusive_key, -1)
+            _adjust(self.keys, attempt.work.exclusive_key, -1)
             if attempt.work.exclusive_key not in self.keys:
                 self.freed_keys.append(attempt.work.exclusive_key)
         if attempt.preemptible:
-            _count(self.preemptible, attempt.vm, -1)
+            _adjust(self.preemptible, attempt.vm, -1)
         pool = self._pools.get(attempt.work.target)
         if pool is None:
             return attempt
@@ -156,7 +171,7 @@
         return attempt
 
 
-def _count(counts: dict[str, int], key: str, step: int) -> None:
+def _adjust(counts: dict[str, int], key: str, step: int) -> None:
     counts[key] = counts.get(key, 0) + step
     if not counts[key]:
         del counts[key]
--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -11,7 +11,7 @@
 from .estimate import Estimator
 from .gangs import Gangs
 from .jobs import Attempt, Job
-from .lanes import Lane, Pending, lane_of
+from .lanes import Lane, QueueEntry, lane_of
 from .messages import Priority, WorkKind
 from .parking import Parking
 from .preemption import Preemptor
@@ -24,19 +24,19 @@
 
 __all__ = ["Backlog"]
 
-# Jobs tried in one pass, so that a deep queue does not delay the next message.
+# Jobs tried in one pass: few enough that a deep queue does not delay the next message.
 PASS_LIMIT = 32
 
 # Gangs tried in one pass.
 GANG_LIMIT = 8
 
-# Largest number of jobs for which other work is being preempted.
-PREEMPTING = 256
+# Largest number of jobs for which other work is preempted at the same time.
+PREEMPTING_LIMIT = 256
 
-# Time for which work waits before its team's share is reclaimed from others.
+# Time for which work waits before capacity is reclaimed for it from other teams.
 RECLAIM_AFTER_S = 1.0
 
-# Queued work is handed back this long after the authority has lapsed.
+# Queued work is refused with `NOT_OWNER` this long after the authority has lapsed.
 HAND_BACK_S = 1.0
 
 
@@ -58,15 +58,17 @@
         self._parking = Parking()
         self._sequence = itertools.count()
         self._gang_queue: list[tuple[int, int, str]] = []
+        # What could not start with the capacity that is free now: lanes, pairs of a
+        # lane and a team, and "gangs" for all gangs.
         self._blocked: set[t.Hashable] = set()
         self._retry_pass = False
         self._delayed: list[tuple[float, str]] = []
-        self._urgent: OrderedDict[str, Job] = OrderedDict()
-        state.on_end = self._ended
-        state.on_close = self._closed
+        self._preempting: OrderedDict[str, Job] = OrderedDict()
+        state.on_end = self._on_attempt_end
+        state.on_close = self._on_job_close
 
     def configure(self) -> None:
-        """Take the policy, the teams and the capacity in force."""
+        """Apply the current policy, teams and capacity."""
         config, fleet = self._state.config, self._state.fleet
         slots = {
             name: Resources(cpu_m=pool.slots * pool.wanted)
@@ -78,7 +80,7 @@
         self._state.quotas.configure(config.teams, fleet.total)
 
     def submit(self, now: float, job: Job) -> None:
-        """Queue a new job, or refuse it."""
+        """Start or queue a new job, or refuse it."""
         detail = self.reasons.never(job, self.gangs)
         if detail:
             self._results.refuse(now, job, Code.UNPLACEABLE, detail)
@@ -92,28 +94,28 @@
             team_depth = self._queues.team_depth(job.work)
         pool = self._state.pools.get(job.work.target)
         limit = pool.spec.queue_limit if pool else None
-        verdict = self._admission.admit(now, job.work, depth, team_depth, limit)
-        if verdict.code is Code.ACCEPTED:
+        decision = self._admission.admit(now, job.work, depth, team_depth, limit)
+        if decision.code is Code.ACCEPTED:
             self.requeue(now, job)
         else:
-            after_s = verdict.retry_after_s
-            self._results.refuse(now, job, verdict.code, retry_after_s=after_s)
+            after_s = decision.retry_after_s
+            self._results.refuse(now, job, decision.code, retry_after_s=after_s)
 
     def requeue(self, now: float, job: Job) -> None:
-        """Queue a job that has a task to start, or start it if nothing waits."""
+        """Queue a job that has a task to start, or start it if no other job waits."""
         if job.retry_at > now:
             heapq.heappush(self._delayed, (job.retry_at, job.request_id))
             return
         if job.entry is None:
-            job.entry = self._entry_of(job)
+            job.entry = self._create_entry(job)
         if job.work.kind is WorkKind.GANG:
-            self._gang_back(job)
+            self._queue_gang(job)
             return
-        if not self._started_at_once(now, job):
+        if not self._start_at_once(now, job):
             self._push(now, job)
 
-    def _gang_back(self, job: Job) -> None:
-        entry = t.cast(Pending, job.entry)
+    def _queue_gang(self, job: Job) -> None:
+        entry = t.cast(QueueEntry, job.entry)
         item = -int(job.work.priority), entry.sequence, job.request_id
         if item not in self._gang_queue:
             bisect.insort(self._gang_queue, item)
@@ -124,7 +126,7 @@
         return sum(bool(job.pending) for job in self._state.jobs.values())
 
     def run(self, now: float) -> None:
-        """Start what fits."""
+        """Start the waiting tasks that fit."""
         while self._delayed and self._delayed[0][0] <= now:
             job = self._state.jobs.get(heapq.heappop(self._delayed)[1])
             if job is not None and job.pending:
@@ -139,16 +141,16 @@
             self._unpark(now)
             self._start_held(now)
         if self._gang_queue:
-            self._pass_gangs(now)
+            self._run_gang_pass(now)
         if self._retry_pass and len(self._queues):
-            self._pass(now)
+            self._run_pass(now)
 
     def tick(self, now: float) -> None:
-        """Go on with preemption and try all waiting work again."""
+        """Continue preemptions, drop expired entries and retry all waiting work."""
         self.preemptor.tick(now)
         self._queues.expire(now)
-        self._hand_back(now)
-        for job in self._parking.overdue(now):
+        self._refuse_waiting(now)
+        for job in self._parking.pop_overdue(now):
             if job.may_have_run:
                 self._parking.wait_for_ownership(now, job)
             else:
@@ -159,10 +161,14 @@
         self._state.room_freed = True
 
     def _reclaim(self, now: float) -> None:
-        """Checkpoint work of a team above its share for a team below its own."""
+        """Checkpoint work of teams above their fair share for a team below its own."""
         quotas = self._state.quotas
         team = quotas.least_waiting()
-        if team is None or quotas.over_share(team) or len(self._urgent) >= PREEMPTING:
+        if (
+            team is None
+            or quotas.excess_share(team)
+            or len(self._preempting) >= PREEMPTING_LIMIT
+        ):
             return
         for entry in self._queues.candidates(now, PASS_LIMIT):
             job = self._state.jobs.get(entry.work.request_id)
@@ -178,26 +184,26 @@
                 job.pending[0],
                 charge,
                 checkpoint_only=True,
-                accept=lambda attempt: quotas.over_share(attempt.work.team) > 0.0,
+                accept=lambda attempt: quotas.excess_share(attempt.work.team) > 0.0,
             ):
-                self._urgent[job.request_id] = job
+                self._preempting[job.request_id] = job
             return
 
-    def _hand_back(self, now: float) -> None:
-        """Answer work that has not run once this process cannot start it."""
+    def _refuse_waiting(self, now: float) -> None:
+        """Refuse work that has not run, once the authority has lapsed for a while."""
         if now < self._state.authority.until + HAND_BACK_S:
             return
         for job in list(self._state.jobs.values()):
             if job.pending and not job.may_have_run and not job.cancelled:
                 self._results.refuse(now, job, Code.NOT_OWNER, retry_after_s=0.1)
 
-    def _entry_of(self, job: Job) -> Pending:
+    def _create_entry(self, job: Job) -> QueueEntry:
         expected_s = self._estimator.run_time_s(job.work)
         sequence = next(self._sequence)
-        return Pending(job.work, job.arrived, sequence, expected_s=expected_s)
+        return QueueEntry(job.work, job.arrived, sequence, expected_s=expected_s)
 
     def _push(self, now: float, job: Job) -> None:
-        entry = t.cast(Pending, job.entry)
+        entry = t.cast(QueueEntry, job.entry)
         if job.request_id in self._queues:
             return
         entry.next_task = job.work.tasks - len(job.pending)
@@ -210,11 +216,15 @@
         if self._queues.remove(job.request_id, now) is not None:
             self._state.quotas.remove_waiting(job.work.team)
 
-    def _started_at_once(self, now: float, job: Job) -> bool:
-        """Start a job past an empty queue, or as backfill before a gang."""
+    def _start_at_once(self, now: float, job: Job) -> bool:
+        """Start a job without queueing it; return False if it must be queued.
+
+        That is possible if no other work of its class waits, or, as backfill, if that
+        work is blocked while a gang holds a reservation.
+        """
         if now >= self._state.authority.until:
             return False
-        entry = t.cast(Pending, job.entry)
+        entry = t.cast(QueueEntry, job.entry)
         lane = lane_of(entry, self._state.config.policy.short_s)
         if self._queues.depth(job.work) and not (
             lane in self._blocked and self.gangs.active
@@ -225,14 +235,17 @@
         self._block(job, lane)
         return False
 
-    def _pass(self, now: float) -> None:
+    def _run_pass(self, now: float) -> None:
         self._retry_pass = False
         for entry in self._queues.candidates(now, PASS_LIMIT):
-            # What starts may have others of its lane behind it, which come next time.
-            self._retry_pass |= self._try(now, entry)
+            # The next pass tries the work behind an entry that has started.
+            self._retry_pass |= self._try_entry(now, entry)
+
+    def _try_entry(self, now: float, entry: QueueEntry) -> bool:
+        """Place one queued job, or block what cannot start either.
 
-    def _try(self, now: float, entry: Pending) -> bool:
-        """Place one queued job; block its lane if it shows that the lane is stuck."""
+        Return True if a task was started or the entry was removed.
+        """
         lane, team = t.cast(Lane, entry.lane), entry.work.team
         if lane in self._blocked or (lane, team) in self._blocked:
             return False
@@ -248,15 +261,15 @@
         return len(job.pending) < before
 
     def _block(self, job: Job, lane: Lane) -> None:
-        """Note what cannot start either, now that a job could not."""
+        """Block the other work that cannot start because this job could not."""
         team = job.work.team
         if not self._state.quotas.allowed(team, self._starter.charge(job)):
             self._blocked.add((lane, team))
-        elif not self._waits_alone(job):
+        elif not self._blocks_no_other(job):
             self._blocked.add(lane)
 
-    def _waits_alone(self, job: Job) -> bool:
-        """Tell whether a job waits for something that those behind it do not."""
+    def _blocks_no_other(self, job: Job) -> bool:
+        """Return whether a job waits for something that jobs behind it do not need."""
         if job.held:
             return True
         is_batch = job.work.kind is WorkKind.BATCH
@@ -264,10 +277,10 @@
             self.gangs.active or self._starter.charge(job) != job.work.need
         )
 
-    def _place(self, now: float, job: Job, entry: Pending) -> bool:
-        """Start what fits of a job; return True if it waits in the queue no more."""
+    def _place(self, now: float, job: Job, entry: QueueEntry) -> bool:
+        """Start the tasks of a job that fit; return True if it need not be queued."""
         while job.pending:
-            if self._parked(now, job):
+            if self._park_if_needed(now, job):
                 return True
             task = job.pending[0]
             may_start = self._results.ledger.may_start(job.request_id, task)
@@ -276,8 +289,11 @@
             job.pending.popleft()
         return True
 
-    def _parked(self, now: float, job: Job) -> bool:
-        """Set a job aside that must wait for sole ownership or for its key."""
+    def _park_if_needed(self, now: float, job: Job) -> bool:
+        """Park a job that must wait for sole ownership or for its exclusive key.
+
+        Return True if it was parked, or answered because it may have run already.
+        """
         work, key = job.work, job.work.exclusive_key
         if work.idempotent and not key:
             return False
@@ -296,8 +312,8 @@
                 return True
         return False
 
-    def _must_wait(self, job: Job) -> bool:
-        """Tell whether a job may not start whatever room there is."""
+    def _waits_for_exclusivity(self, job: Job) -> bool:
+        """Return whether a job must wait for sole ownership or for its key."""
         work = job.work
         if work.idempotent and not work.exclusive_key:
             return False
@@ -305,17 +321,17 @@
         return taken or not self._state.serves_exclusive()
 
     def _unpark(self, now: float) -> None:
-        """Queue jobs again that need not wait any more, one for each free key."""
+        """Queue parked jobs that may start now, one for each exclusive key freed."""
         freed, self._state.attempts.freed_keys = self._state.attempts.freed_keys, []
         for key in freed:
-            job = self._parking.key_freed(key)
+            job = self._parking.next_for_key(key)
             if job is not None:
                 self.requeue(now, job)
         if self._state.serves_exclusive():
-            for job in self._parking.owned():
+            for job in self._parking.pop_ownership_waiters():
                 self.requeue(now, job)
 
-    def _place_task(self, now: float, job: Job, task: int, entry: Pending) -> bool:
+    def _place_task(self, now: float, job: Job, task: int, entry: QueueEntry) -> bool:
         if task in job.held:
             return False
         charge = self._starter.charge(job)
@@ -333,7 +349,7 @@
             return False
         return self._starter.start(now, job, task, choice, charge)
 
-    def _pass_gangs(self, now: float) -> None:
+    def _run_gang_pass(self, now: float) -> None:
         if "gangs" in self._blocked:
             return
         self._blocked.add("gangs")
@@ -343,10 +359,10 @@
                 self._gang_queue.remove(item)
 
     def _place_gang(self, now: float, job: Job) -> bool:
-        """Start a gang whole; return True if it waits in the queue no more."""
+        """Start all tasks of a gang or none; return True if it leaves the queue."""
         if job.held:
             return False
-        if self._parked(now, job):
+        if self._park_if_needed(now, job):
             return True
         charge = self._starter.charge(job)
         whole = charge.times(len(job.pending))
@@ -360,38 +376,41 @@
         job.reason = self.reasons.gang_waits(job, reserved)
         if reserved and job.work.priority is Priority.URGENT:
             for name in sorted(set(job.held.values())):
-                self.preemptor.clear(now, self._state.fleet.vms[name])
+                self.preemptor.free_held(now, self._state.fleet.vms[name])
         return False
 
     def _preempt(self, now: float, job: Job, task: int, charge: Resources) -> None:
-        if job.work.kind is WorkKind.REQUEST or len(self._urgent) >= PREEMPTING:
+        if (
+            job.work.kind is WorkKind.REQUEST
+            or len(self._preempting) >= PREEMPTING_LIMIT
+        ):
             return
         if self.preemptor.make_room(now, job, task, charge):
-            self._urgent[job.request_id] = job
+            self._preempting[job.request_id] = job
             job.reason = "It waits until less urgent work is checkpointed or stopped."
 
     def _start_held(self, now: float) -> None:
-        """Start the tasks whose held room has become free."""
-        for job in self.gangs.ready(now):
-            if self._must_wait(job):
+        """Start the tasks for which the capacity held has become free."""
+        for job in self.gangs.pop_ready(now):
+            if self._waits_for_exclusivity(job):
                 self._state.release_holds(job)
-                self._gang_back(job)
+                self._queue_gang(job)
             else:
                 self._starter.start_all_held(now, job)
-        for request_id, job in list(self._urgent.items()):
+        for request_id, job in list(self._preempting.items()):
             for task, name in list(job.held.items()):
                 vm = self._state.fleet.vms.get(name)
                 if vm is None or not vm.usable:
                     self._state.release_hold(job, task)
-                elif not vm.overcommitted and not self._must_wait(job):
+                elif not vm.overcommitted and not self._waits_for_exclusivity(job):
                     self._starter.start_held(now, job, task)
             if not job.held:
-                del self._urgent[request_id]
+                del self._preempting[request_id]
             if not job.pending:
                 self._remove(now, job)
 
-    def _ended(self, now: float, attempt: Attempt) -> None:
+    def _on_attempt_end(self, now: float, attempt: Attempt) -> None:
         self._queues.ended(now, attempt.attempt_id)
 
-    def _closed(self, now: float, job: Job) -> None:
+    def _on_job_close(self, now: float, job: Job) -> None:
         self._remove(now, job)
--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -1,9 +1,9 @@
-"""Claims of workers, and what their replies say about VMs and attempts."""
+"""Claims of workers, and the handling of their replies and failures."""
 
 import typing as t
 from dataclasses import replace
 
-from .attempts import RESTART_S, fate, lost_after
+from .attempts import RESTART_S, classify_missing, lost_after
 from .codes import Code, Outcome
 from .fleet import Vm
 from .health import Health
@@ -28,25 +28,26 @@
 
 __all__ = ["Claims"]
 
-# A claim that brings no reply at all is repeated after this time. It is longer than the
-# back-off and time-out of a link, which a new claim would restart.
+# Time after which a claim without any reply is repeated. It is longer than the back-off
+# and time-out of a link, which a new claim would restart.
 CLAIM_AGAIN_S = 5.0
 
 # Interval at which a worker with attempts in doubt is claimed again.
 RECHECK_S = 0.5
 
-NEVER = float("-inf")
+# End of an authority that is not valid.
+_ENDED = float("-inf")
 
 _TAKEOVER_INPUTS = frozenset({Tick, VmUpdate, VmGone, ClaimReply, VmListRead})
 
 
 class Claims:
-    """Knows which workers answer, and settles the attempts of those that do not.
+    """Tracks which workers answer, and ends the attempts of those that do not.
 
     Parameters
     ----------
-    leaves : callable
-        Takes a time and a VM that has begun to leave.
+    on_leaving : callable
+        Called with the time and a VM that is about to leave.
     """
 
     def __init__(
@@ -54,25 +55,25 @@
         state: ShardState,
         results: Results,
         health: Health,
-        leaves: t.Callable[[float, Vm], None],
+        on_leaving: t.Callable[[float, Vm], None],
     ):
         self._state = state
         self._results = results
         self._health = health
-        self._leaves = leaves
+        self._on_leaving = on_leaving
         self._unclaimed: dict[str, Vm] = {}
-        self._doubtful: dict[str, Vm] = {}
+        self._in_doubt: dict[str, Vm] = {}
         self._gone: set[str] = set()
 
     def authority(self, now: float, msg: Authority) -> None:
-        """Take a new end of authority; claim all workers under a new epoch."""
+        """Apply a new authority; if its epoch is new, claim all workers."""
         state = self._state
         if msg.epoch < state.authority.epoch:
             return
-        risen = msg.epoch > state.authority.epoch
+        new_epoch = msg.epoch > state.authority.epoch
         state.authority = msg
         state.room_freed = True
-        if risen:
+        if new_epoch:
             state.owned_since = now
             state.awaiting_first_claim = set(state.fleet.vms)
             for vm in state.fleet.vms.values():
@@ -82,10 +83,10 @@
         """Follow a take-over, which claims each worker for the first time."""
         state = self._state
         state.takeover = takeover
-        self.authority(now, Authority(state.shard, takeover.epoch, NEVER, False))
+        self.authority(now, Authority(state.shard, takeover.epoch, _ENDED, False))
 
-    def advance(self, now: float, msg: Message | VmListRead) -> None:
-        """Hand a message on to the take-over and send the claims that it asks for."""
+    def forward_to_takeover(self, now: float, msg: Message | VmListRead) -> None:
+        """Pass a message to the take-over and send the claims that it asks for."""
         takeover = self._state.takeover
         if takeover is None or type(msg) not in _TAKEOVER_INPUTS:
             return
@@ -97,17 +98,17 @@
             self._state.room_freed = True
 
     def update(self, now: float, msg: VmUpdate) -> None:
-        """Add a VM or take over its changes."""
+        """Add a VM, or apply its changes."""
         known = msg.vm.name in self._state.fleet.vms
         vm = self._state.fleet.update(msg.vm)
         self._health.add(vm)
-        # First, as the take-over may hold back the claim of a new VM.
-        self.advance(now, msg)
-        back = vm.name in self._gone
+        # Before the claim below, since the take-over may delay the claim of a new VM.
+        self.forward_to_takeover(now, msg)
+        returned = vm.name in self._gone
         self._gone.discard(vm.name)
         vm.listed_leaving = msg.leaving
-        if back or not known:
-            # The VMs of a new term may be named after its authority.
+        if returned or not known:
+            # The VMs of a new epoch may be announced after its authority.
             state = self._state
             if state.awaiting_first_claim or now < state.owned_since + CLAIMS_WAIT_S:
                 state.awaiting_first_claim.add(vm.name)
@@ -115,14 +116,14 @@
         self._note_leaving(now, vm)
 
     def gone(self, now: float, msg: VmGone) -> None:
-        """Forget a VM once nothing can run on it any more."""
+        """Give up a VM; it is removed once nothing can run on it any more."""
         vm = self._state.fleet.vms.get(msg.vm)
         if vm is not None:
             self._gone.add(vm.name)
             self._set_unclaimed(now, vm)
 
     def unreachable(self, now: float, name: str) -> None:
-        """Note that a worker has not answered; it counts as full."""
+        """Record that a worker has not answered; nothing is placed there."""
         vm = self._state.fleet.vms.get(name)
         if vm is None or name in self._gone:
             return
@@ -131,11 +132,11 @@
         if answered:
             self._claim(now, vm)
         else:
-            # The claim itself failed; the next tick repeats it.
+            # It was the claim that failed; the next tick repeats it.
             vm.claim_sent_at = float("-inf")
 
     def claim_reply(self, now: float, msg: ClaimReply) -> None:
-        """Take the complete list of a worker's attempts."""
+        """Process a claim reply, which lists all attempts of a worker."""
         vm = self._state.fleet.vms.get(msg.vm)
         if vm is None or vm.name in self._gone:
             return
@@ -150,7 +151,7 @@
             self._set_claimed(now, vm, msg)
 
     def poll_reply(self, now: float, msg: PollReply) -> None:
-        """Take a worker's changes."""
+        """Process a poll reply, which reports the changes on a worker."""
         vm = self._state.fleet.vms.get(msg.vm)
         if vm is None:
             return
@@ -166,12 +167,13 @@
             vm.reported_leaving = msg.leaving
             self._note_leaving(now, vm)
         for report in msg.attempts:
-            # That an attempt has ended stays true; that it runs may not.
+            # An outdated report of an ended attempt still holds, unlike one of a
+            # running attempt.
             if report.state is not AttemptState.RUNNING or not outdated:
-                self._report(now, vm, report)
+                self._handle_report(now, vm, report)
 
     def start_reply(self, now: float, msg: StartReply) -> None:
-        """Take a worker's answer to one start."""
+        """Process a worker's answer to one start."""
         attempt = self._state.attempts.get(msg.attempt_id)
         if attempt is None:
             return
@@ -185,15 +187,15 @@
             self.unreachable(now, msg.vm)
 
     def lose_authority(self) -> None:
-        """Start nothing more: a worker has seen a higher epoch."""
+        """End the authority, because a worker has seen a higher epoch."""
         state = self._state
-        state.authority = replace(state.authority, until=NEVER)
+        state.authority = replace(state.authority, until=_ENDED)
 
     def tick(self, now: float) -> None:
-        """End lease waits and repeat claims."""
+        """End attempts whose lease wait is over, and repeat claims."""
         for vm in list(self._unclaimed.values()):
             self._check_unclaimed(now, vm)
-        for vm in list(self._doubtful.values()):
+        for vm in list(self._in_doubt.values()):
             if now >= vm.claim_sent_at + RECHECK_S:
                 self._claim(now, vm)
 
@@ -201,11 +203,14 @@
         vm.claimed = False
         vm.lost_at = min(vm.lost_at, now)
         self._unclaimed[vm.name] = vm
-        self._doubtful.pop(vm.name, None)
+        self._in_doubt.pop(vm.name, None)
         self._state.fleet.refresh(vm)
 
     def _claim(self, now: float, vm: Vm) -> None:
-        """Claim a worker; nothing is placed there until it has answered."""
+        """Claim a worker; nothing is placed there until it has answered.
+
+        After a take-over, the first claim of each worker is left to the `Takeover`.
+        """
         vm.claimed = False
         self._unclaimed[vm.name] = vm
         self._state.fleet.refresh(vm)
@@ -226,27 +231,27 @@
         state.awaiting_first_claim.discard(vm.name)
         vm.clock_ms, vm.clock_at = msg.clock_ms, now
         self._unclaimed.pop(vm.name, None)
-        self._doubtful.pop(vm.name, None)
-        missing = fate(now, state.attempts.on_vm(vm), msg)
-        # Replicas first, so that requests find the executor whose slot they hold.
+        self._in_doubt.pop(vm.name, None)
+        missing = classify_missing(now, state.attempts.on_vm(vm), msg)
+        # Replicas first: a request can only take its slot once its replica is known.
         for report in sorted(msg.attempts, key=lambda report: bool(report.executor)):
             if report.attempt_id not in state.attempts:
                 self._adopt(now, vm, report)
-            self._report(now, vm, report)
+            self._handle_report(now, vm, report)
         for attempt in missing.lost:
             self._results.lost(now, attempt)
         if missing.in_doubt:
-            self._doubtful[vm.name] = vm
+            self._in_doubt[vm.name] = vm
         vm.reported_leaving = msg.leaving
         self._note_leaving(now, vm)
         state.room_freed = True
         if not state.awaiting_first_claim:
-            # Until then each reconciliation would see only a part of the replicas.
+            # Before that, a reconciliation would see only some of the replicas.
             for pool in state.pools.values():
                 pool.changed = True
 
     def _adopt(self, now: float, vm: Vm, report: AttemptReport) -> None:
-        """Take over an attempt that an earlier owner started."""
+        """Adopt a running attempt that an earlier owner started."""
         if report.state is not AttemptState.RUNNING:
             return
         work = Work(
@@ -265,7 +270,7 @@
         self._state.attempts.add(vm, attempt, report.need)
         self._results.adopted(now, attempt, report)
 
-    def _report(self, now: float, vm: Vm, report: AttemptReport) -> None:
+    def _handle_report(self, now: float, vm: Vm, report: AttemptReport) -> None:
         attempt = self._state.attempts.get(report.attempt_id)
         running = report.state is AttemptState.RUNNING
         if attempt is not None and running:
@@ -277,7 +282,8 @@
         elif not running:
             self._results.found(now, report)
         elif running and vm.claimed:
-            # Only a claim reply is complete enough to charge an unknown attempt.
+            # A poll reply may lack other attempts, so an unknown attempt is charged
+            # only from the claim reply.
             self._claim(now, vm)
 
     def _confirm(self, now: float, attempt: Attempt) -> None:
@@ -291,7 +297,7 @@
         vm.leaving = leaving
         self._state.fleet.refresh(vm)
         if vm.leaving:
-            self._leaves(now, vm)
+            self._on_leaving(now, vm)
         else:
             self._state.room_freed = True
 
@@ -312,9 +318,9 @@
 
 
 def _outdated(now: float, vm: Vm, reply: ClaimReply | PollReply) -> bool:
-    """Tell whether a reply was written before another one that was handled already.
+    """Return whether a reply was written before one that was handled already.
 
-    It may name attempts that have ended, and lack attempts that have started since.
+    An outdated reply may name attempts that have ended, and lack those started since.
     """
     if now > vm.clock_at + RESTART_S:
         return False
--- a/src/poplaryard/fleet.py
+++ b/src/poplaryard/fleet.py
@@ -1,4 +1,4 @@
-"""VMs of one shard, what is charged to them and what is held for waiting work."""
+"""VMs of one shard with the amounts charged to them and held for waiting work."""
 
 import typing as t
 from dataclasses import dataclass, field
@@ -9,13 +9,13 @@
 
 __all__ = ["Fleet", "Vm"]
 
-# Sizes of work for which the largest fitting shape is remembered.
+# Largest number of needs for which the largest fitting shape is cached.
 SHAPE_CACHE_SIZE = 4096
 
 
 @dataclass(slots=True, eq=False)
 class Vm:
-    """One VM with its charges.
+    """One VM with the state of its worker and what is charged to and held on it.
 
     Attributes
     ----------
@@ -28,8 +28,8 @@
     claimed : bool
         Whether the worker has accepted the current epoch and answers.
     leaving : bool
-        Whether the VM list or a ticket (`listed_leaving`) or the worker itself
-        (`reported_leaving`) says that the VM leaves.
+        Whether the VM is about to leave, according to the VM list or a ticket
+        (`listed_leaving`) or to the worker itself (`reported_leaving`).
     ejected : bool
         Whether the worker gets no work because its starts fail.
     clock_ms : int
@@ -38,6 +38,8 @@
         Time at which that reading arrived.
     lost_at : float
         Time since which the worker has not answered; infinity if it answers.
+    grid, bucket, slot
+        Position in the `CapacityIndex`.
     """
 
     spec: VmSpec
@@ -74,12 +76,12 @@
 
     @property
     def overcommitted(self) -> bool:
-        """Whether holds wait for charges to end."""
+        """Whether charges and holds together exceed the capacity."""
         return self.free.cpu_m < 0 or self.free.mem_mb < 0 or self.free.gpus < 0
 
 
 class Fleet:
-    """VMs of a shard; every amount is charged once and released once."""
+    """VMs of a shard; each attempt is charged once and released once."""
 
     def __init__(self) -> None:
         self.vms: dict[str, Vm] = {}
@@ -92,7 +94,7 @@
         self.used = ZERO
 
     def update(self, spec: VmSpec) -> Vm:
-        """Add a VM or take over its new group, rack and capacity."""
+        """Add a VM, or apply its new group, rack and capacity."""
         vm = self.vms.get(spec.name)
         if vm is None:
             vm = self.vms[spec.name] = Vm(spec, ZERO)
@@ -100,7 +102,7 @@
             self.total += spec.capacity
             self._count_shape(spec, 1)
         elif vm.spec != spec:
-            self._respecify(vm, spec)
+            self._change_spec(vm, spec)
         self.racks.setdefault(spec.rack, {})[spec.name] = vm
         self.refresh(vm)
         return vm
@@ -111,7 +113,7 @@
             self._rack_names = sorted(self.racks)
         return self._rack_names
 
-    def _respecify(self, vm: Vm, spec: VmSpec) -> None:
+    def _change_spec(self, vm: Vm, spec: VmSpec) -> None:
         self.index.discard(vm)
         self._leave_rack(vm)
         self._count_shape(vm.spec, -1)
@@ -129,7 +131,7 @@
             self._rack_names = []
 
     def remove(self, name: str) -> None:
-        """Forget a VM with all its charges and holds."""
+        """Remove a VM with all its charges and holds."""
         vm = self.vms.pop(name, None)
         if vm is None:
             return
@@ -141,14 +143,14 @@
             self.used -= amount
 
     def refresh(self, vm: Vm) -> None:
-        """Bring the index up to date after a change of the VM's state."""
+        """Update the index after a change of the VM's state."""
         if vm.claimed and not vm.leaving and not vm.ejected:
-            self.index.place(vm, vm.spec.group)
+            self.index.update(vm, vm.spec.group)
         else:
             self.index.discard(vm)
 
     def charge(self, vm: Vm, attempt_id: str, amount: Resources) -> None:
-        """Charge an attempt to a VM; a repeated charge changes nothing."""
+        """Charge an attempt to a VM; a repeated call changes nothing."""
         if attempt_id in vm.charges:
             return
         vm.charges[attempt_id] = amount
@@ -158,7 +160,7 @@
             self.refresh(vm)
 
     def raise_charge(self, vm: Vm, attempt_id: str, amount: Resources) -> None:
-        """Raise an attempt's charge to a larger measured amount."""
+        """Raise an attempt's charge to its measured use, where that is larger."""
         old = vm.charges.get(attempt_id)
         if old is None or amount.fits_in(old):
             return
@@ -181,13 +183,13 @@
         return True
 
     def hold(self, vm: Vm, hold_id: str, amount: Resources) -> None:
-        """Keep an amount for a waiting task, even before it is free."""
+        """Hold an amount for a waiting task, even before it is free."""
         vm.holds[hold_id] = amount
         vm.free -= amount
         self.refresh(vm)
 
     def release_hold(self, name: str, hold_id: str) -> Resources:
-        """Give a held amount back and return it."""
+        """Release a held amount and return it; return zero if there is no such hold."""
         vm = self.vms.get(name)
         if vm is None or hold_id not in vm.holds:
             return ZERO
@@ -212,7 +214,7 @@
         return totals
 
     def largest_shape(self, need: Resources, group: str = "") -> Resources | None:
-        """Return the largest shape that holds `need`, or None if none does."""
+        """Return the largest shape in which `need` fits, or None if there is none."""
         key = need, group
         if key not in self._largest_shapes:
             if len(self._largest_shapes) >= SHAPE_CACHE_SIZE:
--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -1,8 +1,8 @@
-"""Gangs: all tasks of a job start at once or none does.
+"""Gang scheduling: all tasks of a job start at once or none does.
 
 A gang that does not fit now can reserve room: it holds room on the VMs that are
-expected to be free soonest, which keeps smaller work from taking that room over and
-over. One gang for each resource class (with and without GPUs) holds a reservation.
+expected to be free soonest, so that smaller work does not take that room again and
+again. At most one gang with GPUs and one without hold a reservation.
 """
 
 import typing as t
@@ -18,16 +18,16 @@
 
 __all__ = ["Gangs", "Reservation"]
 
-# Reserved VMs tried for one task that would end before the gang starts.
+# Reserved VMs tried to backfill one task that would end before the gang starts.
 BACKFILL_PROBES = 16
 
-# Held tasks that are moved to free VMs in one pass.
+# Holds that are moved to VMs with free room in one pass.
 MOVES = 32
 
-# A reservation whose time has passed is planned anew at most this often.
+# Shortest interval between two choices of VMs for one reservation.
 REPLAN_S = 1.0
 
-# Run time that a task is allowed for by backfill and reservations: a high quantile,
+# Quantile of the run times that backfill and reservations expect of a task. It is high,
 # since one late task delays the whole gang.
 QUANTILE = 0.9
 
@@ -56,7 +56,7 @@
 
 
 class _Option(t.NamedTuple):
-    """Tasks that one VM can take from a time on."""
+    """Number of tasks that fit on one VM from the time `at` on."""
 
     at: float
     vm: str
@@ -64,7 +64,7 @@
 
 
 class Gangs:
-    """Placement of gangs in one shard."""
+    """Holds and reservations for the gangs of one shard."""
 
     def __init__(self, state: ShardState, estimator: Estimator):
         self._state = state
@@ -72,17 +72,17 @@
         self._reserved: dict[bool, Reservation] = {}
 
     def max_parallel(self, need: Resources, group: str) -> int:
-        """Return how many tasks the shard's VMs could run at once when empty."""
+        """Return how many tasks the VMs of a group could run at once when empty."""
         shapes = self._state.fleet.shapes(group)
         return sum(count_fits(need, shape) * count for shape, count in shapes.items())
 
     def hold_all(self, job: Job, need: Resources) -> bool:
-        """Hold room that is free now for every pending task, or for none."""
+        """Hold room that is free now for every pending task; False if some lack it."""
         fleet, group = self._state.fleet, job.work.group
-        if fleet.index.at_most(need, group) < len(job.pending):
+        if fleet.index.max_tasks(need, group) < len(job.pending):
             return False
         for task in job.pending:
-            vm = fleet.index.tightest(need, group)
+            vm = fleet.index.best_fit(need, group)
             if vm is None:
                 self._state.release_holds(job)
                 return False
@@ -95,7 +95,10 @@
         return bool(self._reserved)
 
     def reserve(self, now: float, job: Job, need: Resources) -> bool:
-        """Hold room that will be free; False if another gang holds a reservation."""
+        """Hold room that will become free, and return whether that was possible.
+
+        It is not if another gang holds a reservation, or if the VMs lack the room.
+        """
         key = bool(need.gpus)
         if key in self._reserved:
             return False
@@ -106,21 +109,21 @@
         self._reserved[key] = Reservation(job, need, starts_at, now)
         return True
 
-    def ready(self, now: float) -> list[Job]:
-        """Return the gangs whose reserved room has become free."""
+    def pop_ready(self, now: float) -> list[Job]:
+        """Return the gangs whose reserved room is free, and end their reservations."""
         found = []
         for key, reservation in list(self._reserved.items()):
             job = reservation.job
             if not job.held:
                 # Answered or cancelled.
                 del self._reserved[key]
-            elif self._settle(now, reservation):
+            elif self._make_ready(now, reservation):
                 del self._reserved[key]
                 found.append(job)
         return found
 
     def vm_lost(self, vm: Vm) -> None:
-        """Give up the room held on a VM that cannot be used any more."""
+        """Release the room reserved on a VM that cannot be used any more."""
         for reservation in self._reserved.values():
             job = reservation.job
             for task in [task for task, name in job.held.items() if name == vm.name]:
@@ -130,7 +133,7 @@
     def backfill(
         self, now: float, need: Resources, group: str, run_time_s: float
     ) -> Vm | None:
-        """Return a reserved VM on which a task ends before its gang starts."""
+        """Return a reserved VM on which a task would end before the gang starts."""
         for reservation in self._reserved.values():
             urgent = reservation.job.work.priority is Priority.URGENT
             if urgent or now + run_time_s > reservation.starts_at:
@@ -145,15 +148,15 @@
                     return vm
         return None
 
-    def _settle(self, now: float, reservation: Reservation) -> bool:
-        """Move held tasks to better VMs; tell whether all have room now."""
+    def _make_ready(self, now: float, reservation: Reservation) -> bool:
+        """Move holds to better VMs; return whether all tasks have free room now."""
         job, vms = reservation.job, self._state.fleet.vms
         planned = len(job.held) == len(job.pending)
         blocked = vms.get(reservation.waits_for)
         if planned and blocked is not None and blocked.overcommitted:
             late = now >= max(reservation.starts_at, reservation.planned_at + REPLAN_S)
             index, need = self._state.fleet.index, reservation.need
-            if not late and index.tightest(need, job.work.group) is None:
+            if not late and index.best_fit(need, job.work.group) is None:
                 return False
         self._move(job, reservation.need)
         self._replan(now, reservation)
@@ -162,20 +165,23 @@
         return len(job.held) == len(job.pending) and not waiting
 
     def _move(self, job: Job, need: Resources) -> None:
-        """Hold room that is free now in place of room that is not."""
+        """Replace holds on room that is not free by holds on room that is."""
         fleet = self._state.fleet
         waiting = [
             task for task, name in job.held.items() if not _has_room(fleet.vms[name])
         ]
         for task in waiting[:MOVES]:
-            vm = fleet.index.tightest(need, job.work.group)
+            vm = fleet.index.best_fit(need, job.work.group)
             if vm is None:
                 return
             self._state.release_hold(job, task)
             self._state.hold(job, task, vm, need)
 
     def _replan(self, now: float, reservation: Reservation) -> None:
-        """Choose VMs anew for tasks without a hold, and for all that are late."""
+        """Choose VMs again if tasks lack a hold or the gang is late.
+
+        Holds on VMs with free room stay.
+        """
         job, vms = reservation.job, self._state.fleet.vms
         if now < reservation.planned_at + REPLAN_S:
             return
@@ -190,7 +196,11 @@
         reservation.planned_at = now
 
     def _hold_soonest(self, now: float, job: Job, need: Resources) -> float | None:
-        """Hold room for the tasks without any where it is expected to be soonest."""
+        """Hold room for the tasks without a hold, where it is expected soonest.
+
+        Return the time from which all tasks are expected to have room, or None if the
+        VMs lack the room.
+        """
         tasks = [task for task in job.pending if task not in job.held]
         starts_at = now
         for option in self._options(now, job, need):
@@ -206,13 +216,13 @@
         options = []
         for vm in self._state.fleet.vms.values():
             if vm.usable and job.work.group in ("", vm.spec.group):
-                options += self._options_of(now, vm, need)
+                options += self._vm_options(now, vm, need)
         return sorted(options)
 
-    def _options_of(self, now: float, vm: Vm, need: Resources) -> list[_Option]:
-        """Return what fits on a VM now and after its tasks have ended."""
+    def _vm_options(self, now: float, vm: Vm, need: Resources) -> list[_Option]:
+        """Return how many tasks fit on a VM now, and when its tasks have ended."""
         at_once = count_fits(need, vm.free)
-        ending = [a for a in self._state.attempts.on_vm(vm) if _ends(a)]
+        ending = [a for a in self._state.attempts.on_vm(vm) if _is_finite(a)]
         room = sum((vm.charges[a.attempt_id] for a in ending), vm.free)
         later = count_fits(need, room) - at_once
         found = []
@@ -226,8 +236,8 @@
     def _ends_at(self, now: float, attempt: Attempt) -> float:
         """Return when an attempt is expected to end.
 
-        One that has overrun is expected to take as long again, so that a task that
-        never ends does not look as if it were about to.
+        One that has overrun is expected to run for as long again, so that a task that
+        never ends is not always expected to end soon.
         """
         elapsed_s = now - attempt.sent_at
         expected_s = self._estimator.run_time_s(attempt.work, QUANTILE)
@@ -236,7 +246,7 @@
         return now + elapsed_s
 
 
-def _ends(attempt: Attempt) -> bool:
+def _is_finite(attempt: Attempt) -> bool:
     return attempt.work.kind in (WorkKind.BATCH, WorkKind.GANG)
 
 
--- a/src/poplaryard/jobs.py
+++ b/src/poplaryard/jobs.py
@@ -3,7 +3,7 @@
 from collections import Counter, deque
 from dataclasses import dataclass, field
 
-from .lanes import Pending
+from .lanes import QueueEntry
 from .messages import Priority, StopMode, Work, WorkKind
 from .resources import ZERO, Resources
 
@@ -19,19 +19,20 @@
     executor : str
         Attempt id of the replica that serves a `REQUEST`.
     sent_at : float
-        Time of the start; of the first report if an earlier owner started it.
+        Time at which the start was sent; of the first report if an earlier owner sent
+        it.
     latest_start : float
         Last time at which the worker may still begin it.
     valid_until_ms : int
-        The same moment on the worker's clock.
+        `latest_start` on the worker's clock, in milliseconds.
     confirmed_at : float
         Time at which the worker confirmed the start; infinity if it has not.
     stop_sent_at : float
-        Time of the last stop; minus infinity if none was sent.
+        Time at which the last stop was sent; minus infinity if none was.
     stop_mode : StopMode or None
-        How it was last asked to end.
+        Mode of the last stop.
     preempted : bool
-        Whether it is stopped so that other work can start.
+        Whether it is being ended so that other work can start.
     charged : Resources
         Amount charged at its start.
     """
@@ -57,7 +58,7 @@
 
     @property
     def preemptible(self) -> bool:
-        """Whether other work may take its place; it is then run again."""
+        """Whether it may be ended for other work and run again later."""
         work = self.work
         if work.kind is not WorkKind.BATCH or work.priority is Priority.URGENT:
             return False
@@ -65,36 +66,37 @@
 
     @property
     def confirmed(self) -> bool:
-        """Whether the worker has said that it started."""
+        """Whether the worker has confirmed the start."""
         return self.confirmed_at != float("inf")
 
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """Work of one caller until its answer is given.
+    """One submitted request and the progress of its tasks until it is answered.
 
     Attributes
     ----------
     pending : deque of int
-        Tasks that have no attempt at the moment.
+        Tasks without an attempt in progress that are still to be started.
     attempts : set of str
         Attempts in progress.
     failures : Counter of int
-        Attempts that failed or were lost, by task: one VM may take several tasks of a
-        job with it.
+        Failed and lost attempts by task. They are counted for each task, since the loss
+        of one VM can end several tasks of a job.
     refusals : int
         Starts that a worker refused.
     ran : bool
-        Whether any attempt has run or was lost with its worker.
+        Whether an attempt has run or may have run: it was lost with its worker, or an
+        earlier owner may have started it.
     fresh : bool
         Whether it is certain that no earlier owner has run any of its tasks.
     retry_at : float
         Time before which no task is started again.
     held : dict of int to str
-        VM on which room is held, by task.
+        VM on which capacity is held, by task.
     reason : str
         Why it waits, as one sentence.
-    entry : Pending or None
+    entry : QueueEntry or None
         Its entry in the wait queues.
     """
 
@@ -111,7 +113,7 @@
     retry_at: float = 0.0
     held: dict[int, str] = field(default_factory=dict)
     reason: str = ""
-    entry: Pending | None = None
+    entry: QueueEntry | None = None
 
     @property
     def request_id(self) -> str:
@@ -120,10 +122,10 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether "not run" would be untrue or could become so."""
+        """Whether the answer "not run" would be false or could become false."""
         return self.ran or bool(self.attempts)
 
     @property
     def stoppable(self) -> bool:
-        """Whether its attempts may be stopped half-way."""
+        """Whether its attempts may be stopped before they end."""
         return self.work.idempotent and not self.work.exclusive_key
--- a/src/poplaryard/lanes.py
+++ b/src/poplaryard/lanes.py
@@ -1,4 +1,4 @@
-"""Queues of one lane: the teams of a lane by share, each in order of arrival."""
+"""Queue of one lane: its teams in order of share, each in order of arrival."""
 
 import heapq
 import math
@@ -13,48 +13,56 @@
     "SLOT",
     "Lane",
     "LaneQueue",
-    "Pending",
+    "QueueEntry",
     "class_of",
     "lane_of",
     "latest_start",
-    "place_of",
-    "unit_of",
+    "resource_pool_of",
+    "task_usage",
 ]
 
+# One executor slot, counted as a resource.
 SLOT = Resources(cpu_m=1)
-# Declared run times are up to three times too long. Without this allowance a sixth of
-# the short work would be taken for long work.
+# Declared run times are up to this factor too long. Without the allowance, a sixth of
+# the short work would be classified as long.
 _DECLARED_ERROR = 3.0
-# Part of the expected run time that must be left before the deadline at the start.
+# Part of the expected run time that must remain before the deadline when work starts.
 _RUN_SHARE = 1.0
-# Most of the time to its deadline that work may lose to that part: a wrong expectation
-# must not refuse work at once.
+# Limit of that part, as a share of the time from arrival to deadline: work must not be
+# dropped on arrival because its expected run time is too high.
 _MAX_RUN_SHARE = 0.5
 
 
 class Lane(t.NamedTuple):
-    """Work that competes for the same VMs with the same need.
+    """Key of queued work that competes for the same VMs with the same need.
 
     If the head of a lane cannot be placed now, nothing behind it in the lane can.
+
+    Attributes
+    ----------
+    long : bool
+        Whether the work runs longer than the policy's limit for short work.
+    resource_pool : str
+        Name of the target or VM group; empty if the work names neither.
     """
 
     priority: Priority
     long: bool
-    place: str
+    resource_pool: str
     need: Resources
     checkpointable: bool = False
 
 
 @dataclass(slots=True)
-class Pending:
-    """One request that waits for a place.
+class QueueEntry:
+    """One job that waits for capacity.
 
     Attributes
     ----------
     arrived : float
         Monotonic time of arrival in seconds.
     sequence : int
-        Order of arrival; ties in time are broken by it.
+        Position in the order of arrival.
     next_task : int
         First task that has not been started yet.
     expected_s : float
@@ -79,39 +87,40 @@
     latest: float = math.inf
 
 
-def place_of(work: Work) -> str:
-    """Return the target or VM group for whose capacity a work competes."""
+def resource_pool_of(work: Work) -> str:
+    """Return the target or VM group for whose capacity `work` competes."""
     return work.target or work.group
 
 
-def unit_of(work: Work) -> Resources:
-    """Return what one task holds of its place: an executor slot or its need."""
+def task_usage(work: Work) -> Resources:
+    """Return what one task uses of its resource pool: an executor slot or its need."""
     return SLOT if work.kind is WorkKind.REQUEST else work.need
 
 
 def class_of(work: Work) -> str:
-    """Return the class of work whose queue is bounded as one."""
-    return f"{work.kind}:{place_of(work)}"
+    """Return the class of work, by kind and pool; each class has one queue limit."""
+    return f"{work.kind}:{resource_pool_of(work)}"
 
 
-def lane_of(entry: Pending, short_s: float) -> Lane:
-    """Return the lane of an entry by priority, length, place and need.
+def lane_of(entry: QueueEntry, short_s: float) -> Lane:
+    """Return the lane of an entry by priority, run time, resource pool and need.
 
-    Work is long if its class is known to be, or if even the least run time that its
-    declaration allows is: a class of short work has stragglers.
+    Work is long if the learned run time of its class is long, or if the shortest run
+    time that its declaration allows is. The declaration counts even in a class of short
+    work, because such a class has stragglers.
     """
     work = entry.work
     learned_s = entry.expected_s if entry.expected_s != work.declared_s else 0.0
     return Lane(
         work.priority,
         max(learned_s, work.declared_s / _DECLARED_ERROR) > short_s,
-        place_of(work),
-        unit_of(work),
+        resource_pool_of(work),
+        task_usage(work),
         work.checkpointable,
     )
 
 
-def latest_start(entry: Pending) -> float:
+def latest_start(entry: QueueEntry) -> float:
     """Return the time after which a start would most likely miss the deadline."""
     work = entry.work
     expected_s = entry.expected_s or work.declared_s
@@ -120,26 +129,26 @@
 
 
 class LaneQueue:
-    """Entries of one lane.
+    """Queue of the entries of one lane.
 
-    Teams come in order of their share, then of their oldest entry. The heap holds
-    outdated items until they surface, so that a change of share costs O(log teams).
+    Teams come in order of their share, then of their oldest entry. Outdated items stay
+    in the heap until they are popped, so that a change of share costs O(log teams).
 
     Parameters
     ----------
     share : callable
-        Present weighted share of a team.
+        Current weighted share of a team.
     """
 
     def __init__(self, share: t.Callable[[str], float]):
         self._share = share
-        self._teams: dict[str, OrderedDict[str, Pending]] = {}
+        self._teams: dict[str, OrderedDict[str, QueueEntry]] = {}
         self._heap: list[tuple[float, int, str]] = []
 
     def __bool__(self) -> bool:
         return bool(self._teams)
 
-    def add(self, entry: Pending) -> None:
+    def add(self, entry: QueueEntry) -> None:
         """Add an entry; one older than its team's head goes to the front."""
         team, request_id = entry.work.team, entry.work.request_id
         entries = self._teams.setdefault(team, OrderedDict())
@@ -147,10 +156,10 @@
         entries[request_id] = entry
         if is_head:
             entries.move_to_end(request_id, last=False)
-            self.touch(team)
+            self.reorder(team)
 
-    def discard(self, entry: Pending) -> None:
-        """Remove an entry that is in this lane."""
+    def discard(self, entry: QueueEntry) -> None:
+        """Remove an entry, which must be in this lane."""
         team, request_id = entry.work.team, entry.work.request_id
         entries = self._teams[team]
         was_head = _head(entries) is entry
@@ -158,19 +167,19 @@
         if not entries:
             del self._teams[team]
         elif was_head:
-            self.touch(team)
+            self.reorder(team)
 
-    def touch(self, team: str) -> None:
-        """Take up a changed share or head of a team."""
+    def reorder(self, team: str) -> None:
+        """Move a team to its new position after its share or head has changed."""
         entries = self._teams.get(team)
         if entries:
             item = (self._share(team), _head(entries).sequence, team)
             heapq.heappush(self._heap, item)
 
-    def walk(self) -> t.Iterator[Pending]:
-        """Yield the entries in the order to try them, team by team in rounds."""
+    def walk(self) -> t.Iterator[QueueEntry]:
+        """Yield the entries in the order to try them: one of each team in turn."""
         visited: list[tuple[float, int, str]] = []
-        walks: list[t.Iterator[Pending]] = []
+        walks: list[t.Iterator[QueueEntry]] = []
         try:
             while item := self._pop(visited):
                 visited.append(item)
@@ -201,5 +210,5 @@
         return None
 
 
-def _head(entries: OrderedDict[str, Pending]) -> Pending:
+def _head(entries: OrderedDict[str, QueueEntry]) -> QueueEntry:
     return next(iter(entries.values()))
--- a/src/poplaryard/links.py
+++ b/src/poplaryard/links.py
@@ -20,27 +20,34 @@
 )
 from .workers import Renewal, Workers
 
-__all__ = ["AuthorityCell", "WorkerLink"]
+__all__ = ["CurrentAuthority", "WorkerLink"]
 
 _clock = SystemClock()
 
+# Largest number of starts in one call.
 START_BATCH = 64
-# Start calls open at once to one worker; a batch gathers while these are under way.
+# Start calls open at once to one worker; further starts are collected into a batch.
 START_CALLS = 4
-# A quarter of the task lease, so that two lost polls in a row end no task.
+# A quarter of the task lease, so that no task ends when two polls in a row are lost.
 POLL_WAIT_S = 1.0
+# Limits of the random back-off before a claim that follows a failure.
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 2.0
 
 Post: t.TypeAlias = t.Callable[[Message], None]
 
 
-class AuthorityCell:
-    """Present authority over a shard, which its links check before each call."""
+class CurrentAuthority:
+    """Current authority over a shard, which its links check before their calls.
+
+    Attributes
+    ----------
+    exclusive_until : float
+        End of the last authority that covered exclusive work.
+    """
 
     def __init__(self, shard: str):
         self.value = Authority(shard, 0, 0.0, False)
-        # End of the last authority that covered exclusive work.
         self.exclusive_until = float("-inf")
         self._renewed = asyncio.Event()
 
@@ -52,7 +59,7 @@
         self._renewed.set()
 
     def valid(self) -> bool:
-        """Tell whether the authority holds now."""
+        """Return whether the authority holds now."""
         return _clock.now() < self.value.until
 
     async def wait_valid(self) -> None:
@@ -70,15 +77,17 @@
 
 
 class WorkerLink:
-    """Claims, polls and commands one worker; each call checks the authority first.
+    """Claims and polls one worker and sends it starts and stops.
+
+    Claims, polls and starts are sent only while the authority is valid.
 
     Parameters
     ----------
     vm, address : str
     workers : Workers
     post : callable
-        Takes the messages that go to the shard.
-    authority : AuthorityCell
+        Called with the messages for the shard.
+    authority : CurrentAuthority
     """
 
     def __init__(
@@ -87,7 +96,7 @@
         address: str,
         workers: Workers,
         post: Post,
-        authority: AuthorityCell,
+        authority: CurrentAuthority,
     ):
         self.vm = vm
         self.address = address
@@ -102,13 +111,13 @@
         self._failures = 0
 
     def claim(self, command: ClaimWorker) -> None:
-        """Claim the worker, then poll it under the same epoch until told otherwise."""
+        """Claim the worker, then poll it under the same epoch until the next claim."""
         if self._poller is not None:
             self._poller.cancel()
         self._poller = asyncio.create_task(self._claim_and_poll(command.epoch))
 
     def start(self, command: StartAttempt) -> None:
-        """Queue a start; it leaves with the next batch."""
+        """Queue a start; it is sent with the next batch."""
         self._starts.append(command)
         if self._start_calls < START_CALLS:
             self._start_calls += 1
@@ -119,7 +128,7 @@
         self._spawn(self._send_stop(command))
 
     def close(self) -> None:
-        """End the link; what the worker runs lives on until its lease ends."""
+        """Close the link; the attempts on the worker run until their leases end."""
         if self._poller is not None:
             self._poller.cancel()
         for call in list(self._calls):
@@ -171,7 +180,7 @@
 
     async def _send_starts(self) -> None:
         try:
-            # Starts decided in the same step of the loop leave in one call.
+            # Starts decided in the same iteration of the event loop go into one call.
             await asyncio.sleep(0)
             while self._starts:
                 count = min(START_BATCH, len(self._starts))
--- a/src/poplaryard/placement.py
+++ b/src/poplaryard/placement.py
@@ -1,4 +1,4 @@
-"""Choice of a VM for one task, with one policy for each kind of work."""
+"""Choice of a VM for one task, with one placement policy for each kind of work."""
 
 import random
 import typing as t
@@ -11,12 +11,12 @@
 
 __all__ = ["BatchTask", "Choice", "ReplicaTask", "RequestTask", "Task", "choose"]
 
-# Racks tried for a replica before any VM with room is taken.
+# Racks tried for a replica before the best-fitting VM of any rack is taken.
 RACK_PROBES = 16
 
 
 class Choice(t.NamedTuple):
-    """VM for a task; `executor` is the replica that serves it, if it needs one."""
+    """VM chosen for a task, and the replica that serves it if it is a request."""
 
     vm: Vm
     executor: str = ""
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchTask(Task):
-    """Task that ends; it is packed tightly."""
+    """Task that runs to completion; it goes to the VM with the best fit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTask(Task):
-    """Request to a service; it takes a slot of one of the service's replicas."""
+    """Request to a service; it takes a slot of one of the service's replicas.
+
+    Attributes
+    ----------
+    pool : ReplicaPool or None
+        Replicas of the service; None if there is no such service.
+    """
 
     need: Resources = ZERO
     pool: ReplicaPool | None = None
@@ -72,25 +78,25 @@
 
 @choose.register
 def _(task: BatchTask, fleet: Fleet, rng: random.Random) -> Choice | None:
-    vm = fleet.index.tightest(task.need, task.group)
+    vm = fleet.index.best_fit(task.need, task.group)
     return Choice(vm) if vm else None
 
 
 @choose.register
 def _(task: RequestTask, fleet: Fleet, rng: random.Random) -> Choice | None:
-    """Take the less loaded of two random replicas, as `ReplicaPool.choose` does."""
+    """Choose the less loaded of two random replicas, as `ReplicaPool.choose` does."""
     replica = task.pool.choose(rng) if task.pool else None
     return Choice(fleet.vms[replica.vm], replica.attempt_id) if replica else None
 
 
 @choose.register
 def _(task: ReplicaTask, fleet: Fleet, rng: random.Random) -> Choice | None:
-    """Take the rack with the fewest replicas of the service that has room."""
+    """Choose a VM in the rack with room that has the fewest replicas of the service."""
     for rack in _racks_to_try(task, fleet, rng):
         fitting = [vm for vm in fleet.racks[rack].values() if _suits(vm, task)]
         if fitting:
             return Choice(min(fitting, key=_preference))
-    vm = fleet.index.tightest(task.need, task.group)
+    vm = fleet.index.best_fit(task.need, task.group)
     return Choice(vm) if vm else None
 
 
@@ -102,7 +108,7 @@
 
 
 def _suits(vm: Vm, task: Task) -> bool:
-    """Tell whether a VM has room and is not a GPU worker that others need."""
+    """Return whether a VM has room; GPU VMs are kept for tasks that need GPUs."""
     if not vm.usable or task.group not in ("", vm.spec.group):
         return False
     if vm.shape.gpus and not task.need.gpus:
--- a/src/poplaryard/preemption.py
+++ b/src/poplaryard/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: room for urgent work at the least loss of other work."""
+"""Preemption: ends attempts to make room for other work at the least loss."""
 
 import heapq
 import typing as t
@@ -11,19 +11,27 @@
 
 __all__ = ["Preemptor", "choose_victims"]
 
-# VMs compared for one task, so that the cost does not grow with their number.
+# VMs compared for one task; a sample bounds the cost in a large shard.
 VM_PROBES = 32
 
-# Time given to a checkpoint before the task is stopped. Urgent work starts within
+# Time given to a checkpoint before the task is stopped. Urgent work is to start within
 # 2.3 s; the stop, its report and the start need the rest.
 CHECKPOINT_S = 1.2
 
-# A stop whose effect is not reported is sent again after this time.
+# Time after which a stop is sent again if the attempt is not reported as ended.
 STOP_AGAIN_S = 1.0
 
 
 class Victims(t.NamedTuple):
-    """Attempts to be ended on one VM, compared by the work that is lost."""
+    """Attempts to end on one VM, and the work that is lost with them.
+
+    Attributes
+    ----------
+    stopped : int
+        Attempts that cannot be checkpointed.
+    lost_s : float
+        Total time for which those have run.
+    """
 
     stopped: int
     lost_s: float
@@ -36,8 +44,8 @@
     """Return the attempts to end so that `need` fits, or None if none suffice.
 
     Attempts that can be checkpointed go first, then those that have run for the
-    shortest time. Exclusive and non-idempotent ones are never chosen. Attempts that
-    are being stopped already count as room.
+    shortest time. Exclusive and non-idempotent ones are never chosen. The room of
+    attempts that are being preempted already counts as free.
     """
     chosen: list[Attempt] = []
     room = vm.free
@@ -53,7 +61,7 @@
             room += vm.charges[attempt.attempt_id]
     if not need.fits_in(room):
         return None
-    chosen = _without_spare(vm, chosen, need, room)
+    chosen = _drop_unneeded(vm, chosen, need, room)
     stopped = [attempt for attempt in chosen if not attempt.work.checkpointable]
     lost_s = sum(now - attempt.sent_at for attempt in stopped)
     return Victims(len(stopped), lost_s, chosen)
@@ -63,10 +71,10 @@
     return not attempt.work.checkpointable, -attempt.sent_at
 
 
-def _without_spare(
+def _drop_unneeded(
     vm: Vm, chosen: list[Attempt], need: Resources, room: Resources
 ) -> list[Attempt]:
-    """Drop attempts, the most costly first, whose room is not needed after all."""
+    """Return the attempts whose room is needed; the costliest are dropped first."""
     kept = list(chosen)
     for attempt in reversed(chosen):
         smaller = room - vm.charges[attempt.attempt_id]
@@ -93,14 +101,16 @@
         checkpoint_only: bool = False,
         accept: t.Callable[[Attempt], bool] = lambda attempt: True,
     ) -> bool:
-        """Hold room for a task on the VM where least is lost; False if there is none.
+        """Hold room for a task on the VM where the least work is lost.
+
+        Return False if no VM was found.
 
         Parameters
         ----------
         checkpoint_only : bool
             Whether only attempts that can be checkpointed may be ended.
         accept : callable
-            Tells whether an attempt may be ended for this task.
+            Returns whether an attempt may be ended for this task.
         """
         best: tuple[Vm, Victims] | None = None
         for vm in self._candidates(need, job.work.group):
@@ -115,20 +125,20 @@
         self._end(now, best[1].attempts)
         return True
 
-    def clear(self, now: float, vm: Vm) -> None:
-        """End attempts so that what is held on a VM gets its room."""
+    def free_held(self, now: float, vm: Vm) -> None:
+        """End attempts so that the room held on a VM becomes free."""
         victims = self._victims(now, vm, ZERO, lambda attempt: True)
         if victims is not None:
             self._end(now, victims.attempts)
 
     def checkpoint(self, now: float, attempt_id: str) -> None:
-        """Checkpoint one attempt if it may be; it is queued again."""
+        """Checkpoint one attempt, if it is preemptible, to be queued again."""
         attempt = self._state.attempts.get(attempt_id)
         if attempt is not None and attempt.preemptible and not attempt.preempted:
             self._end(now, [attempt])
 
     def tick(self, now: float) -> None:
-        """Stop attempts whose checkpoint or stop has taken too long."""
+        """Stop the attempts whose checkpoint or stop has taken too long."""
         while self._watched and self._watched[0][0] <= now:
             attempt = self._state.attempts.get(heapq.heappop(self._watched)[1])
             if attempt is not None:
@@ -164,7 +174,7 @@
                 self._stop(now, attempt, StopMode.STOP, STOP_AGAIN_S)
 
     def _stop(
-        self, now: float, attempt: Attempt, mode: StopMode, patience_s: float
+        self, now: float, attempt: Attempt, mode: StopMode, repeat_after_s: float
     ) -> None:
         self._state.stop(now, attempt, mode)
-        heapq.heappush(self._watched, (now + patience_s, attempt.attempt_id))
+        heapq.heappush(self._watched, (now + repeat_after_s, attempt.attempt_id))
--- a/src/poplaryard/quota.py
+++ b/src/poplaryard/quota.py
@@ -1,4 +1,4 @@
-"""Dominant-resource fair shares of teams, with borrowing and reclaim."""
+"""Dominant-resource fair shares of teams, with borrowing."""
 
 import heapq
 import typing as t
@@ -9,15 +9,15 @@
 __all__ = ["Quotas"]
 
 # Share of the capacity that borrowers leave free while a team below its share waits.
-# That team may wait for another reason than room, so borrowing must not stop at once.
-_LENT_LAST = 0.05
+# Borrowing goes on above it, since that team may wait for something else than capacity.
+_BORROWING_RESERVE = 0.05
 
 
 class Quotas:
     """Capacity held by each team against its fair share.
 
     A team may borrow beyond its fair share. While a team below its own share waits,
-    borrowers leave the last of the capacity to it.
+    borrowers leave a small share of the capacity free for it.
     """
 
     def __init__(self) -> None:
@@ -27,15 +27,15 @@
         self._used = ZERO
         self._waiting: dict[str, int] = {}
         self._active_weight = 0.0
-        self._least: list[tuple[float, str]] = []
+        self._least_heap: list[tuple[float, str]] = []
 
     def configure(self, teams: t.Mapping[str, TeamSpec], total: Resources) -> None:
-        """Take the teams in force and the capacity that they share."""
+        """Set the teams and the capacity that they share."""
         self._teams = dict(teams)
         self._total = total
         self._active_weight = sum(self.weight(team) for team in self._active())
-        self._least = [(self.share(team), team) for team in self._waiting]
-        heapq.heapify(self._least)
+        self._least_heap = [(self.share(team), team) for team in self._waiting]
+        heapq.heapify(self._least_heap)
 
     def weight(self, team: str) -> float:
         """Return the weight of a team; 1 if it is not configured."""
@@ -43,30 +43,30 @@
         return spec.weight if spec else 1.0
 
     def charge(self, team: str, need: Resources) -> None:
-        """Account capacity given to a team."""
+        """Account for capacity given to a team."""
         self._activate(team)
         self._held[team] = self._held.get(team, ZERO) + need
         self._used = self._used + need
 
     def release(self, team: str, need: Resources) -> None:
-        """Account capacity that a team gave back."""
+        """Account for capacity that a team released."""
         self._held[team] = self._held[team] - need
         self._used = self._used - need
         if self._held[team] == ZERO:
             del self._held[team]
             self._deactivate(team)
         if team in self._waiting:
-            heapq.heappush(self._least, (self.share(team), team))
+            heapq.heappush(self._least_heap, (self.share(team), team))
 
     def add_waiting(self, team: str) -> None:
-        """Count one more work of a team that waits."""
+        """Count one more waiting job of a team."""
         self._activate(team)
         self._waiting[team] = self._waiting.get(team, 0) + 1
         if self._waiting[team] == 1:
-            heapq.heappush(self._least, (self.share(team), team))
+            heapq.heappush(self._least_heap, (self.share(team), team))
 
     def remove_waiting(self, team: str) -> None:
-        """Count one work less of a team that waits."""
+        """Count one waiting job less of a team."""
         self._waiting[team] -= 1
         if not self._waiting[team]:
             del self._waiting[team]
@@ -81,18 +81,21 @@
         return self.held(team).dominant_share(self._total) / self.weight(team)
 
     def fair_share(self, team: str) -> float:
-        """Return the dominant share due to a team among the active teams."""
+        """Return the dominant share that a team is due by its weight.
+
+        The active teams, which hold capacity or wait for it, share all the capacity.
+        """
         weight = self.weight(team)
         active = self._active_weight + (0.0 if self._is_active(team) else weight)
         return weight / active
 
-    def over_share(self, team: str) -> float:
+    def excess_share(self, team: str) -> float:
         """Return how far a team's dominant share exceeds its fair share; 0 if not."""
         dominant = self.held(team).dominant_share(self._total)
         return max(0.0, dominant - self.fair_share(team))
 
     def allowed(self, team: str, need: Resources) -> bool:
-        """Tell whether a team may get `need` now."""
+        """Return whether a team may get `need` now."""
         if need == ZERO:
             return True
         after = self.held(team) + need
@@ -103,21 +106,21 @@
         if after.dominant_share(self._total) <= self.fair_share(team):
             return True
         used = (self._used + need).dominant_share(self._total)
-        if used <= 1.0 - _LENT_LAST:
+        if used <= 1.0 - _BORROWING_RESERVE:
             return True
         least = self.least_waiting()
-        return least is None or least == team or self.over_share(least) > 0.0
+        return least is None or least == team or self.excess_share(least) > 0.0
 
     def least_waiting(self) -> str | None:
         """Return the waiting team with the smallest share, if any waits."""
-        while self._least:
-            share, team = self._least[0]
+        while self._least_heap:
+            share, team = self._least_heap[0]
             current = self.share(team)
             if team in self._waiting and share == current:
                 return team
-            heapq.heappop(self._least)
+            heapq.heappop(self._least_heap)
             if team in self._waiting and share < current:
-                heapq.heappush(self._least, (current, team))
+                heapq.heappush(self._least_heap, (current, team))
         return None
 
     def _active(self) -> list[str]:
--- a/src/poplaryard/reserve.py
+++ b/src/poplaryard/reserve.py
@@ -1,4 +1,4 @@
-"""Capacity kept free of long work for the short work that is likely to come."""
+"""Limits on long work that keep capacity free for short work likely to arrive."""
 
 from dataclasses import dataclass
 
@@ -7,54 +7,62 @@
 
 __all__ = ["Reserve"]
 
+# Time in which the remembered peak demand of short work halves.
 _PEAK_HALF_LIFE_S = 60.0
-_MARGIN = 1.2
-_LONG_MIN = 0.1
-_SLACK = 0.15
-# Long work starts only above this, or it would be stopped again at once.
-_START_SLACK = 0.25
+# Capacity kept for short work, as a multiple of its peak demand.
+_PEAK_MARGIN = 1.2
+# Share of the pool that long work may always hold.
+_MIN_LONG_SHARE = 0.1
+# Share of the pool to keep free; below it, checkpointable long work yields.
+_MIN_FREE = 0.15
+# Share of the pool that a start of long work must leave free. It is larger than
+# `_MIN_FREE`, or the work would be stopped again at once.
+_MIN_FREE_AFTER_START = 0.25
 
 
 @dataclass(slots=True)
-class _Held:
+class _AttemptUsage:
+    """Amount that one attempt holds, and whether it was asked to yield it."""
+
     charge: Resources
     long: bool
     checkpointable: bool
     yielding: bool = False
 
     @property
-    def rigid(self) -> bool:
+    def uncheckpointable(self) -> bool:
+        """Whether it is long work that cannot be checkpointed."""
         return self.long and not self.checkpointable
 
 
 class Reserve:
-    """Bounds of long work in one place (a target or a VM group).
+    """Limits on long work in one resource pool (a target or a VM group).
 
     Long work that cannot be checkpointed may hold what the recent peak demand of short
-    work leaves, but at least a tenth of the place and at most all but the policy's
-    share for short work. A fixed share alone fails when short work's demand exceeds
-    it: long work fills the rest and does not give it back for a long time.
+    work leaves, but at least a tenth of the pool and at most all but the policy's share
+    for short work. A fixed share alone fails when the demand of short work exceeds it:
+    long work then fills the rest and does not release it for a long time.
 
-    Long work that can be checkpointed may use the rest down to a slack of free
-    capacity, and yields when the slack is used.
+    Long work that can be checkpointed may use the rest except for a small free share.
+    It is checkpointed when short work needs that share.
     """
 
     def __init__(self, policy: Policy, total: Resources):
         self.policy = policy
         self.total = total
-        self._attempts: dict[str, _Held] = {}
+        self._attempts: dict[str, _AttemptUsage] = {}
         self._held = ZERO
-        self._rigid = ZERO
+        self._uncheckpointable = ZERO
         self._long = ZERO
         self._waiting = ZERO
         self._yielding = ZERO
         self._peak = 0.0
         self._peak_at = 0.0
 
-    def waits(self, now: float, need: Resources, count: int) -> None:
-        """Count `count` more (or fewer) short tasks that wait."""
+    def add_waiting(self, now: float, need: Resources, count: int) -> None:
+        """Add `count` waiting short tasks; a negative count removes them."""
         self._waiting = self._waiting + need.times(count)
-        self._note(now)
+        self._update_peak(now)
 
     def started(
         self,
@@ -64,64 +72,67 @@
         long: bool,
         checkpointable: bool,
     ) -> None:
-        """Account a started attempt; a repeated call changes nothing."""
+        """Account for a started attempt; a repeated call changes nothing."""
         if attempt_id not in self._attempts:
-            held = self._attempts[attempt_id] = _Held(charge, long, checkpointable)
-            self._add(now, held, charge)
+            held = self._attempts[attempt_id] = _AttemptUsage(
+                charge, long, checkpointable
+            )
+            self._adjust(now, held, charge)
 
     def ended(self, now: float, attempt_id: str) -> None:
-        """Account an ended attempt; a repeated call changes nothing."""
+        """Account for an ended attempt; a repeated call changes nothing."""
         held = self._attempts.pop(attempt_id, None)
         if held is not None:
-            self._add(now, held, ZERO - held.charge)
+            self._adjust(now, held, ZERO - held.charge)
             if held.yielding:
                 self._yielding = self._yielding - held.charge
 
     def long_allowed(self, now: float, need: Resources, checkpointable: bool) -> bool:
-        """Tell whether one more long task may start."""
+        """Return whether one more long task may start."""
         if self.total == ZERO or self._long == ZERO:
             return True
-        if self._free() < _START_SLACK + need.dominant_share(self.total):
+        if self._free_share() < _MIN_FREE_AFTER_START + need.dominant_share(self.total):
             return False
-        after = (self._rigid + need).dominant_share(self.total)
-        return checkpointable or after <= self.rigid_bound(now)
+        after = (self._uncheckpointable + need).dominant_share(self.total)
+        return checkpointable or after <= self.uncheckpointable_limit(now)
 
-    def rigid_bound(self, now: float) -> float:
-        """Return the share that long work without checkpoints may hold."""
-        kept = max(self.policy.short_share, _MARGIN * self._peak_now(now))
-        return max(_LONG_MIN, 1.0 - kept)
+    def uncheckpointable_limit(self, now: float) -> float:
+        """Return the share of the pool that uncheckpointable long work may hold."""
+        kept = max(self.policy.short_share, _PEAK_MARGIN * self._peak_now(now))
+        return max(_MIN_LONG_SHARE, 1.0 - kept)
 
     def to_yield(self) -> list[str]:
-        """Return long attempts to checkpoint so that the slack is free again.
+        """Return the long attempts to checkpoint so that `_MIN_FREE` is free again.
 
-        The attempts started last yield first, so that the oldest come to their end.
+        The attempts started last yield first, so that the oldest can finish. Each
+        attempt is returned once.
         """
         chosen: list[str] = []
-        if self._long == ZERO or self._free() >= _SLACK:
+        if self._long == ZERO or self._free_share() >= _MIN_FREE:
             return chosen
         for attempt_id, held in reversed(self._attempts.items()):
             if held.long and held.checkpointable and not held.yielding:
                 held.yielding = True
                 self._yielding = self._yielding + held.charge
                 chosen.append(attempt_id)
-                if self._free() >= _SLACK:
+                if self._free_share() >= _MIN_FREE:
                     break
         return chosen
 
-    def _free(self) -> float:
-        """Return the share free once waiting short work runs and yielding work ends."""
+    def _free_share(self) -> float:
+        """Return the free share after waiting short work starts and yielding ends."""
         used = self._held + self._waiting - self._yielding
         return 1.0 - used.dominant_share(self.total)
 
-    def _add(self, now: float, held: _Held, charge: Resources) -> None:
+    def _adjust(self, now: float, held: _AttemptUsage, charge: Resources) -> None:
         self._held = self._held + charge
         if held.long:
             self._long = self._long + charge
-        if held.rigid:
-            self._rigid = self._rigid + charge
-        self._note(now)
+        if held.uncheckpointable:
+            self._uncheckpointable = self._uncheckpointable + charge
+        self._update_peak(now)
 
-    def _note(self, now: float) -> None:
+    def _update_peak(self, now: float) -> None:
         short = self._held - self._long + self._waiting
         demand = min(1.0, short.dominant_share(self.total))
         self._peak = max(demand, self._peak_now(now))
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduler of one shard: decides alone and in memory."""
+"""Scheduler of one shard: decides in memory, without any I/O."""
 
 import random
 import typing as t
@@ -64,7 +64,7 @@
 
 
 class ShardScheduler:
-    """Decisions for one shard.
+    """Decides where and when the tasks of one shard run.
 
     Parameters
     ----------
@@ -99,21 +99,22 @@
             Submit: self._on_submit,
             Tick: self._on_tick,
             VmGone: self._claims.gone,
+            # Only the take-over uses it; see `handle`.
             VmListRead: lambda now, msg: None,
             VmUpdate: self._on_vm_update,
             WorkerUnreachable: self._on_unreachable,
         }
 
     def handle(self, now: float, msg: Message | VmListRead) -> list[Message]:
-        """Take one message and return the messages that follow from it."""
+        """Process one message and return the messages to send as a result."""
         handler = self._handlers.get(type(msg))
         if handler is None:
             return []
         state = self._state
         state.out = []
-        # `Claims.update` does so for a `VmUpdate`, once the VM is known.
+        # `Claims.update` forwards a `VmUpdate` itself, once the VM is in the fleet.
         if type(msg) is not VmUpdate:
-            self._claims.advance(now, msg)
+            self._claims.forward_to_takeover(now, msg)
         handler(now, msg)
         self._results.send_stops(now)
         if self._capacity_changed:
@@ -125,15 +126,15 @@
         return state.out
 
     def take_over(self, now: float, takeover: Takeover) -> None:
-        """Follow a take-over, which claims workers and says what may be served.
+        """Follow a take-over, which decides which workers to claim and what to serve.
 
-        Call it before the first `Authority` of its epoch. Without it, exclusive work
-        waits until every VM of the shard was claimed.
+        Call this before the first `Authority` of its epoch. Without a take-over,
+        exclusive work waits until every VM of the shard was claimed.
         """
         self._claims.take_over(now, takeover)
 
     def explain(self, request_id: str) -> str:
-        """Return one sentence that says where a request stands."""
+        """Return the state of a request as one sentence."""
         answer = self._results.ledger.answer(request_id)
         if answer is not None:
             return f"The request was answered: {answer.detail}"
@@ -185,7 +186,7 @@
             self._backlog.gangs.vm_lost(vm)
 
     def _on_leaving(self, now: float, vm: Vm) -> None:
-        """Move replicas and checkpoint what can be; the rest finishes."""
+        """Move replicas away and checkpoint what can be; the rest runs to its end."""
         self._replicas.leaves(now, vm)
         self._backlog.gangs.vm_lost(vm)
         for attempt in self._state.attempts.on_vm(vm):
@@ -197,13 +198,13 @@
 
     def _on_submit(self, now: float, msg: Submit) -> None:
         work, state = msg.work, self._state
-        fresh = work.idempotent or state.may_run_unknown(work.issued_at)
+        may_run = work.idempotent or state.may_run_unknown(work.issued_at)
         found = self._results.ledger.register(
             now,
             msg.wall,
             work,
             attempt=msg.attempt or None,
-            may_run_unknown=fresh,
+            may_run_unknown=may_run,
         )
         if found.answer is not None:
             state.out.append(replace(found.answer, reply_to=msg.reply_to))
@@ -212,13 +213,13 @@
         elif work.request_id in state.jobs:
             state.jobs[work.request_id].reply_to = msg.reply_to
         else:
-            self._take_up(now, msg)
+            self._create_job(now, msg)
 
-    def _take_up(self, now: float, msg: Submit) -> None:
+    def _create_job(self, now: float, msg: Submit) -> None:
         work, state = msg.work, self._state
         open_tasks = self._results.ledger.open_tasks(work.request_id)
         job = Job(work, msg.reply_to, now, deque(open_tasks))
-        job.ran = not state.all_known(now, msg.wall, work)
+        job.ran = not state.excludes_earlier_run(now, msg.wall, work)
         state.add_job(job)
         self._results.take_running(job)
         if work.deadline <= now:
--- a/src/poplaryard/shards.py
+++ b/src/poplaryard/shards.py
@@ -1,4 +1,4 @@
-"""Task of one shard: owns its scheduler, its queue and the links to its workers."""
+"""Event loop task of one shard: its scheduler, inbox and links to its workers."""
 
 import asyncio
 import dataclasses
@@ -9,7 +9,7 @@
 from .clock import SystemClock
 from .codes import Code
 from .configuration import Configuration, VmSpec
-from .links import AuthorityCell, WorkerLink
+from .links import CurrentAuthority, WorkerLink
 from .logs import log_failure
 from .messages import (
     Answer,
@@ -34,9 +34,11 @@
 
 __all__ = ["ShardTask"]
 
+# Length of the inbox from which new work is refused.
 QUEUE_LIMIT = 20_000
+# Answers kept for look-ups.
 ANSWERS_KEPT = 20_000
-# Messages handled before other tasks of the loop run again.
+# Messages handled before other tasks of the event loop run again.
 SLICE = 128
 BUSY_TICK_S = 0.1
 IDLE_TICK_S = 0.5
@@ -55,11 +57,17 @@
     shard, process : str
     workers : Workers
     deliver : callable
-        Takes a process id and the answer that goes to it.
+        Called with a process id and the answer to send to it.
     notice : callable
-        Takes audit events, and `EpochRefused` when a worker knows a higher epoch.
+        Called with audit events, and with `EpochRefused` when a worker knows a higher
+        epoch.
     holds_lease : callable
-        Tells whether this process holds its store lease, and so may claim new VMs.
+        Returns whether this process holds its store lease, and so may claim new VMs.
+
+    Attributes
+    ----------
+    idle : asyncio.Event
+        Set while no request waits for an answer.
     """
 
     def __init__(
@@ -80,9 +88,10 @@
         self._notice = notice
         self._inbox: deque[Message | VmListRead] = deque()
         self._wake = asyncio.Event()
-        self._authority = AuthorityCell(shard)
+        self._authority = CurrentAuthority(shard)
         self._links: dict[str, WorkerLink] = {}
         self._vms: dict[str, tuple[VmSpec, bool]] = {}
+        # Processes that wait for an answer, by request id.
         self._waiting: dict[str, set[str]] = {}
         self.idle = asyncio.Event()
         self.idle.set()
@@ -99,13 +108,15 @@
 
     @property
     def in_progress(self) -> int:
-        """Number of requests that have not been answered."""
+        """Number of requests that were submitted but not answered."""
         return len(self._waiting)
 
     def take_over(
         self, taken: ShardTaken, vms: t.Iterable[str], listed_since: float
     ) -> None:
-        """Follow a take-over; call this before `start`.
+        """Follow the take-over that gave this process the shard.
+
+        Call this before `start`.
 
         Parameters
         ----------
@@ -147,9 +158,10 @@
             link.close()
 
     def post(self, msg: Message | VmListRead) -> None:
-        """Queue a message that must not be lost: reports, configuration, authority.
+        """Queue a message that must not be lost: a report, configuration, authority.
 
-        The number of attempts and workers bounds these; only submits are refused.
+        The number of attempts and workers bounds these messages, so they are accepted
+        without a limit; only `submit` refuses.
         """
         if isinstance(msg, Authority):
             self._authority.set(msg)
@@ -162,8 +174,8 @@
         Parameters
         ----------
         again : bool
-            Whether the work was sent before. It may then have run, so that no refusal
-            can be given and the entry process is left to ask again.
+            Whether the work was sent before. It may then have run, so it cannot be
+            refused as "not run"; it is dropped, and the entry process asks again.
         """
         if len(self._inbox) < QUEUE_LIMIT:
             self.post(msg)
@@ -181,19 +193,20 @@
             self._update_vm(vm, name in leaving)
 
     def vm_leaving(self, name: str, leaving: bool) -> None:
-        """Note what the platform's list says about a VM."""
+        """Record whether the platform's list names a VM as leaving."""
         if name in self._vms:
             self._update_vm(self._vms[name][0], leaving)
 
     def vm_gone(self, name: str) -> None:
-        """Note that the platform no longer lists a VM."""
+        """Record that the platform no longer lists a VM."""
         if self._vms.pop(name, None) is not None:
             self.post(VmGone(name))
 
     def look_up(self, request_id: str, reply_to: str) -> str | None:
-        """Return where a request stands, or None if it is not known here.
+        """Return the state of a request as a sentence, or None if it is not known here.
 
-        Its answer is sent to the process `reply_to`, at once or when there is one.
+        If `reply_to` is not empty, the answer is sent to that process, at once or as
+        soon as there is one.
         """
         answer = self._answers.get(request_id)
         if answer is None and request_id not in self._waiting:
@@ -264,18 +277,19 @@
     def _answer(self, answer: Answer) -> None:
         """Send an answer to every process that has a caller waiting for it."""
         if answer.code is Code.DUPLICATE_MISMATCH:
-            # Meant for the caller of the other body alone; the first one still waits.
+            # Only the caller that sent the other body is told; the first one still
+            # waits for its answer.
             self._deliver(answer.reply_to, answer)
             return
         self._answers[answer.request_id] = answer
         if len(self._answers) > ANSWERS_KEPT:
             self._answers.popitem(last=False)
-        targets = self._waiting.pop(answer.request_id, set())
+        processes = self._waiting.pop(answer.request_id, set())
         if not self._waiting:
             self.idle.set()
-        for target in sorted(targets or {answer.reply_to}):
-            if target:
-                self._deliver(target, dataclasses.replace(answer, reply_to=target))
+        for process in sorted(processes or {answer.reply_to}):
+            if process:
+                self._deliver(process, dataclasses.replace(answer, reply_to=process))
 
     def _refuse(self, msg: Submit, code: Code) -> None:
         answer = Answer(
--- a/src/poplaryard/starter.py
+++ b/src/poplaryard/starter.py
@@ -1,4 +1,4 @@
-"""Choice of a place for one task of a job, and its start."""
+"""Choice of a VM for one task of a job, and the start of that task."""
 
 import typing as t
 
@@ -6,7 +6,7 @@
 from .estimate import Estimator
 from .gangs import QUANTILE, Gangs
 from .jobs import Job
-from .lanes import Pending
+from .lanes import QueueEntry
 from .messages import Priority, WorkKind
 from .placement import BatchTask, Choice, RequestTask, Task, choose
 from .queues import WaitQueues
@@ -18,7 +18,7 @@
 
 
 class Starter:
-    """Starts tasks and accounts each start where it must be known."""
+    """Starts tasks, and reports each start to the ledger, the queues and admission."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._admission = admission
 
     def choose(self, now: float, job: Job, charge: Resources) -> Choice | None:
-        """Return where a task can start now, or None."""
+        """Return where a task of the job can start now, or None."""
         work, fleet, rng = job.work, self._state.fleet, self._state.rng
         task: Task
         if work.kind is WorkKind.REQUEST:
@@ -54,7 +54,7 @@
         return Choice(vm) if vm else None
 
     def _within_headroom(self, job: Job, charge: Resources) -> bool:
-        """Tell whether the share kept free for peaks stays free."""
+        """Return whether a start leaves the policy's headroom free."""
         headroom = self._state.config.policy.headroom
         if not headroom or job.work.priority is Priority.URGENT:
             return True
@@ -62,12 +62,12 @@
         return after.dominant_share(self._state.fleet.total) <= 1.0 - headroom
 
     def start_all_held(self, now: float, job: Job) -> None:
-        """Start all tasks of a job for which room is held."""
+        """Start all tasks of a job for which capacity is held."""
         for task in list(job.held):
             self.start_held(now, job, task)
 
     def start_held(self, now: float, job: Job, task: int) -> None:
-        """Start a task on the VM on which room is held for it."""
+        """Start a task on the VM on which capacity is held for it."""
         vm = self._state.fleet.vms[job.held[task]]
         amount = self._state.release_hold(job, task)
         if self.start(now, job, task, Choice(vm), amount):
@@ -76,13 +76,13 @@
     def start(
         self, now: float, job: Job, task: int, choice: Choice, charge: Resources
     ) -> bool:
-        """Send one start; return False if the authority has lapsed."""
+        """Start one task; return False if the authority has lapsed."""
         start = Start(choice.vm, job.work, task, charge, choice.executor)
         attempt = self._state.start(now, start)
         if attempt is None:
             return False
         self._results.ledger.started(now, job.request_id, attempt.attempt_id, task)
-        entry = t.cast(Pending, job.entry)
+        entry = t.cast(QueueEntry, job.entry)
         is_request = job.work.kind is WorkKind.REQUEST
         held = None if is_request else charge
         self._queues.started(now, attempt.attempt_id, entry, held)
@@ -92,7 +92,10 @@
         return True
 
     def charge(self, job: Job) -> Resources:
-        """Return what one task of a job is charged."""
+        """Return the amount to charge to a VM for one task of a job.
+
+        A request is charged nothing: it takes a slot of a replica instead.
+        """
         if job.work.kind is WorkKind.REQUEST:
             return ZERO
         limit = self._state.fleet.largest_shape(job.work.need, job.work.group)
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -1,4 +1,4 @@
-"""State of one shard that the parts of its scheduler share."""
+"""State of one shard, shared by the components of its scheduler."""
 
 import heapq
 import random
@@ -27,15 +27,15 @@
 
 __all__ = ["ShardState", "Start"]
 
-# A start that the worker reads later than this is refused by it. A short time lets a
-# lost start be tried again soon.
+# Time for which a start is valid: a worker refuses one that it reads later. It is short
+# so that a lost start is soon sent again.
 START_VALID_S = 2.0
 
-# A new owner learns of running replicas from the claims. It waits for them this long
-# before it starts replicas that seem to be missing.
+# A new owner learns of running replicas from the claim replies. It waits this long for
+# them before it starts replicas that seem to be missing.
 CLAIMS_WAIT_S = 1.0
 
-# Largest difference of two wall clocks.
+# Largest assumed difference between the wall clocks of two processes.
 SKEW_S = 5.0
 
 
@@ -56,19 +56,19 @@
     Attributes
     ----------
     takeover : Takeover or None
-        Progress of the take-over that began the present epoch, if it is known.
+        Take-over that began the current epoch, or None if none is followed.
     awaiting_first_claim : set of str
-        VMs that have not been claimed since the present epoch began.
+        VMs that have not been claimed since the current epoch began.
     out : list of Message
-        Messages of the present call.
+        Messages to send as the result of the current call.
     room_freed : bool
         Whether capacity or slots became free since the last placement pass.
     owned_since : float
-        Time at which the present epoch began.
+        Time at which the current epoch began.
     on_end : callable
-        Takes a time and an attempt that has ended.
+        Called with the time and an attempt that has ended.
     on_close : callable
-        Takes a time and a job that starts no more tasks.
+        Called with the time and a job that starts no more tasks.
     """
 
     shard: str
@@ -87,14 +87,14 @@
     on_end: t.Callable[[float, Attempt], None] = lambda now, attempt: None
     on_close: t.Callable[[float, Job], None] = lambda now, job: None
     attempts: AttemptTable = field(init=False)
-    _started: int = 0
+    _attempt_count: int = 0
     _deadlines: list[tuple[float, str]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.attempts = AttemptTable(self.fleet, self.pools, self.quotas)
 
     def serves_exclusive(self) -> bool:
-        """Tell whether exclusive and non-idempotent work may be started.
+        """Return whether exclusive and non-idempotent work may be started.
 
         Without a `Takeover`, every VM of the shard must have been claimed.
         """
@@ -103,28 +103,35 @@
         known = bool(self.fleet.vms) and not self.awaiting_first_claim
         return self.authority.exclusive and known
 
-    def all_known(self, now: float, wall: float, work: Work) -> bool:
-        """Tell whether no earlier owner can have run work that no worker reports.
+    def excludes_earlier_run(self, now: float, wall: float, work: Work) -> bool:
+        """Return whether no earlier owner can have run work that no worker reports.
 
-        It is so once every worker of the shard was claimed, and for ids issued after
-        the present epoch began.
+        That holds for ids issued after the current epoch began, and for every id once
+        all workers of the shard were claimed.
         """
-        taken_wall = wall - (now - self.owned_since)
-        if work.issued_at > taken_wall + SKEW_S:
+        owned_since_wall = wall - (now - self.owned_since)
+        if work.issued_at > owned_since_wall + SKEW_S:
             return True
         if self.takeover is not None:
             return self.takeover.state == "complete"
         return not self.awaiting_first_claim
 
     def may_run_unknown(self, issued_at: float) -> bool:
-        """Tell whether a non-idempotent id that no worker reports has never run."""
+        """Return whether a non-idempotent request that no worker reports may be run.
+
+        Parameters
+        ----------
+        issued_at : float
+            Wall-clock time at which the request's id was issued.
+        """
         if self.takeover is None or not self.serves_exclusive():
-            # Decided when it would be started.
+            # The work waits until `serves_exclusive`, and is checked again before it
+            # is started.
             return True
         return self.takeover.may_run_unknown(issued_at)
 
     def start(self, now: float, start: Start) -> Attempt | None:
-        """Charge a VM and send it one start; None if the authority has lapsed."""
+        """Charge a VM and send it a start; return None if the authority has lapsed."""
         latest = min(self.authority.until, now + START_VALID_S)
         if now >= latest:
             return None
@@ -149,14 +156,14 @@
         return attempt
 
     def audit_attempt(self, action: str, attempt: Attempt, cause: str = "") -> None:
-        """Record what happens to a task; single requests are too many for the trail."""
+        """Emit an audit event for an attempt; requests are too many to be audited."""
         if attempt.work.kind is not WorkKind.REQUEST:
             self.audit_vm(action, attempt.vm, cause, attempt.work.request_id)
 
     def audit_vm(
         self, action: str, vm: str, cause: str = "", request_id: str = ""
     ) -> None:
-        """Record what happens to a VM."""
+        """Emit an audit event for a VM; `ShardTask` sets its time."""
         number = self.config.number
         self.out.append(AuditEvent(action, 0.0, number, vm, request_id, cause))
 
@@ -169,7 +176,7 @@
         self.audit_attempt(mode.value, attempt)
 
     def end(self, now: float, attempt: Attempt) -> Job | None:
-        """Release all that an ended attempt held; return its job if it is open."""
+        """Release what an ended attempt held; return its job if that is open."""
         self.attempts.end(attempt.attempt_id)
         self.on_end(now, attempt)
         self.room_freed = True
@@ -179,35 +186,35 @@
         return job
 
     def hold(self, job: Job, task: int, vm: Vm, amount: Resources) -> None:
-        """Keep room for a task of a job."""
+        """Hold capacity on a VM for a task of a job."""
         self.fleet.hold(vm, _hold_id(job, task), amount)
         job.held[task] = vm.name
 
     def release_hold(self, job: Job, task: int) -> Resources:
-        """Give up the room kept for one task of a job and return its amount."""
+        """Release the capacity held for a task and return its amount."""
         vm = job.held.pop(task)
         self.room_freed = True
         return self.fleet.release_hold(vm, _hold_id(job, task))
 
     def release_holds(self, job: Job) -> None:
-        """Give up the room kept for a job."""
+        """Release the capacity held for all tasks of a job."""
         for task in list(job.held):
             self.release_hold(job, task)
 
     def drop_pending(self, job: Job, task: int) -> None:
-        """Start a task no more, since an attempt of it is known."""
+        """Stop waiting to start a task, because an attempt of it exists already."""
         if task in job.pending:
             job.pending.remove(task)
         if task in job.held:
             self.release_hold(job, task)
 
     def close(self, now: float, job: Job) -> None:
-        """Give up the room and the place in the queue of a job that starts no more."""
+        """Release the holds and the queue entry of a job that starts no more tasks."""
         self.release_holds(job)
         self.on_close(now, job)
 
     def add_job(self, job: Job) -> None:
-        """Take up a job and watch its deadline."""
+        """Add a job and watch its deadline."""
         self.jobs[job.request_id] = job
         if job.work.deadline != float("inf"):
             heapq.heappush(self._deadlines, (job.work.deadline, job.request_id))
@@ -223,9 +230,9 @@
         return found
 
     def _attempt_id(self) -> str:
-        """Return an id unique over processes and restarts, since each epoch is."""
-        self._started += 1
-        return f"{self.shard}/{self.authority.epoch}/{self._started}"
+        """Return an id that is unique across processes and restarts, as epochs are."""
+        self._attempt_count += 1
+        return f"{self.shard}/{self.authority.epoch}/{self._attempt_count}"
 
 
 def _hold_id(job: Job, task: int) -> str:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -38,16 +38,16 @@
     vm = fleet.vms["dc1-vm000"]
     vm.leaving = True
     fleet.refresh(vm)
-    assert fleet.index.tightest(Resources(1, 1, 0)) is None
+    assert fleet.index.best_fit(Resources(1, 1, 0)) is None
 
 
 def test_work_without_gpu_need_takes_a_gpu_vm_only_if_nothing_else_has_room():
     fleet = fleet_of(2)
     need = Resources(16_000, 1024, 0)
-    first = fleet.index.tightest(need)
+    first = fleet.index.best_fit(need)
     assert first.shape.gpus == 0
     fleet.charge(first, "a", need)
-    assert fleet.index.tightest(need).shape.gpus == 8
+    assert fleet.index.best_fit(need).shape.gpus == 8
 
 
 def test_hold_hides_room_that_is_not_free_yet():
@@ -59,9 +59,9 @@
     assert vm.overcommitted
     fleet.release(vm.name, "a")
     assert not vm.overcommitted
-    assert fleet.index.tightest(Resources(1000, 1024, 0)) is None
+    assert fleet.index.best_fit(Resources(1000, 1024, 0)) is None
     fleet.release_hold(vm.name, "h")
-    assert fleet.index.tightest(Resources(1000, 1024, 0)) is vm
+    assert fleet.index.best_fit(Resources(1000, 1024, 0)) is vm
 
 
 @given(st.integers(0, 2**32))
@@ -75,7 +75,7 @@
         need = Resources(
             rng.randrange(0, 9000), rng.randrange(0, 20_000), rng.choice((0, 0, 0, 2))
         )
-        vm = fleet.index.tightest(need)
+        vm = fleet.index.best_fit(need)
         if vm is not None:
             assert need.fits_in(vm.free)
             fleet.charge(vm, str(number), need)
--- a/tests/test_lanes.py
+++ b/tests/test_lanes.py
@@ -1,11 +1,11 @@
 import testtools
 
-from poplaryard.lanes import LaneQueue, Pending, lane_of
+from poplaryard.lanes import LaneQueue, QueueEntry, lane_of
 from tests.builders import work
 
 
 def entry(sequence, team="a", **fields):
-    return Pending(work(f"r{sequence}", team=team, **fields), 0.0, sequence)
+    return QueueEntry(work(f"r{sequence}", team=team, **fields), 0.0, sequence)
 
 
 class LanesTest(testtools.TestCase):
@@ -17,7 +17,7 @@
             queue.add(item)
         self.assertEqual([3, 1, 2], [item.sequence for item in queue.walk()])
         shares["b"] = 0.9
-        queue.touch("b")
+        queue.reorder("b")
         self.assertEqual([1, 3, 2], [item.sequence for item in queue.walk()])
 
     def test_wrong_declaration_does_not_make_short_work_long(self):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,7 +5,7 @@
 from poplaryard.clock import SystemClock
 from poplaryard.codes import Code
 from poplaryard.exceptions import PoplaryardError
-from poplaryard.links import START_BATCH, AuthorityCell, WorkerLink
+from poplaryard.links import START_BATCH, CurrentAuthority, WorkerLink
 from poplaryard.messages import (
     Authority,
     ClaimReply,
@@ -65,10 +65,10 @@
         vars(workers).update(state)
 
         async def run():
-            cell = AuthorityCell("dc1/0")
+            authority = CurrentAuthority("dc1/0")
             until = SystemClock().now() + valid_s
-            cell.set(Authority("dc1/0", 1, until))
-            link = WorkerLink("vm", "a:1", workers, posted.append, cell)
+            authority.set(Authority("dc1/0", 1, until))
+            link = WorkerLink("vm", "a:1", workers, posted.append, authority)
             steps(link)
             await asyncio.sleep(0.02)
             link.close()
@@ -89,11 +89,11 @@
         workers = Workers()
 
         async def run():
-            cell = AuthorityCell("dc1/0")
+            authority = CurrentAuthority("dc1/0")
             now = SystemClock().now()
-            cell.set(Authority("dc1/0", 1, now + 10.0))
-            cell.set(Authority("dc1/0", 1, now + 20.0, exclusive=False))
-            link = WorkerLink("vm", "a:1", workers, lambda msg: None, cell)
+            authority.set(Authority("dc1/0", 1, now + 10.0))
+            authority.set(Authority("dc1/0", 1, now + 20.0, exclusive=False))
+            link = WorkerLink("vm", "a:1", workers, lambda msg: None, authority)
             link.claim(ClaimWorker("vm", 1))
             await asyncio.sleep(0.02)
             link.close()
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -2,7 +2,7 @@
 
 from poplaryard.configuration import Policy
 from poplaryard.messages import Priority, WorkKind
-from poplaryard.queues import Pending, WaitQueues
+from poplaryard.queues import QueueEntry, WaitQueues
 from poplaryard.resources import Resources
 from tests.builders import work
 
@@ -10,7 +10,7 @@
 def entry(sequence, **fields):
     fields = {"kind": WorkKind.BATCH, "target": "", "group": "booking", **fields}
     item = work(f"r{sequence}", **fields)
-    return Pending(item, arrived=float(sequence), sequence=sequence)
+    return QueueEntry(item, arrived=float(sequence), sequence=sequence)
 
 
 def ids(entries):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -26,7 +26,7 @@
         self.quotas.add_waiting("b")
         self.assertFalse(self.quotas.allowed("a", Resources(100, 0, 0)))
         self.assertTrue(self.quotas.allowed("b", Resources(100, 0, 0)))
-        self.assertAlmostEqual(0.36, self.quotas.over_share("a"))
+        self.assertAlmostEqual(0.36, self.quotas.excess_share("a"))
 
     def test_team_that_waits_for_another_reason_does_not_stop_borrowing(self):
         """Guards against idle capacity while a team waits for the reserve."""
--- a/tests/test_reserve.py
+++ b/tests/test_reserve.py
@@ -14,11 +14,13 @@
 
     def test_bound_follows_the_recent_peak_of_short_work(self):
         """Guards against long work that fills what short work needs again soon."""
-        self.assertAlmostEqual(0.8, self.reserve.rigid_bound(0.0))
+        self.assertAlmostEqual(0.8, self.reserve.uncheckpointable_limit(0.0))
         self.reserve.started(0.0, "a", Resources(500, 0, 0), False, False)
         self.reserve.ended(1.0, "a")
-        self.assertAlmostEqual(0.4, self.reserve.rigid_bound(1.0), delta=0.01)
-        self.assertAlmostEqual(0.8, self.reserve.rigid_bound(600.0))
+        self.assertAlmostEqual(
+            0.4, self.reserve.uncheckpointable_limit(1.0), delta=0.01
+        )
+        self.assertAlmostEqual(0.8, self.reserve.uncheckpointable_limit(600.0))
 
     def test_repeated_reports_change_nothing(self):
         """Guards against capacity that is freed twice in the account."""
@@ -33,6 +35,6 @@
         for name in "abcdefgh":
             self.reserve.started(0.0, name, NEED, True, True)
         self.assertEqual([], self.reserve.to_yield())
-        self.reserve.waits(0.0, NEED, 1)
+        self.reserve.add_waiting(0.0, NEED, 1)
         self.assertEqual(["h"], self.reserve.to_yield())
         self.assertEqual([], self.reserve.to_yield())
