--- a/tests/shard.py
+++ b/tests/shard.py
@@ -105,7 +105,7 @@
     return Submit(work(request_id, kind=WorkKind.BATCH, target="", **fields))
 
 
-def plain(vms=1):
+def batch_config(vms=1):
     # Without a reserve for short work, which has tests of its own.
     policy = Policy(short_s=1e9, short_share=0.0)
     return configuration(vms=vms, replicas=0, policy=policy)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -9,7 +9,7 @@
 )
 from poplaryard.resources import Resources
 from tests.builders import work
-from tests.shard import Shard, batch, plain
+from tests.shard import Shard, batch, batch_config
 
 HALF = Resources(8000, 1024, 0)
 
@@ -26,7 +26,7 @@
 
 
 def test_gang_starts_whole_or_not_at_all():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("b1", need=HALF))
     shard.send(gang("g1", 4))
     assert gang_starts(shard, "g1") == []
@@ -36,7 +36,7 @@
 
 def test_small_work_does_not_starve_a_wide_gang():
     """Guards against a steady stream of small tasks keeping every VM half full."""
-    shard = Shard(plain(vms=3))
+    shard = Shard(batch_config(vms=3))
     for number in range(6):
         shard.send(batch(f"b{number}", need=HALF, declared_s=5.0))
     shard.send(gang("g1", 6))
@@ -50,7 +50,7 @@
 
 
 def test_work_that_ends_in_time_is_backfilled_onto_reserved_vms():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("long", need=HALF, declared_s=60.0))
     shard.send(gang("g1", 2))
     shard.send(batch("late", need=HALF, declared_s=100.0))
@@ -63,7 +63,7 @@
 
 def test_reservation_moves_away_from_a_task_that_never_ends():
     """Guards against a misdeclared run time holding up a gang for ever."""
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("stuck", need=HALF, declared_s=1.0))
     shard.send(batch("other", need=HALF, declared_s=1.0, group="booking"))
     shard.send(batch("slow", need=Resources(16_000, 1024, 0), declared_s=20.0))
@@ -77,7 +77,7 @@
 
 
 def test_cancelled_gang_gives_its_reserved_room_back():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1", need=HALF))
     shard.send(gang("g1", 2))
     shard.send(batch("b2", need=HALF, declared_s=100.0))
@@ -88,7 +88,7 @@
 
 
 def test_reservation_survives_the_loss_of_a_vm():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("b1", need=HALF, group="booking"))
     shard.send(gang("g1", 4))
     shard.send(VmUpdate(shard.scheduler._state.fleet.vms["dc1-vm001"].spec, True))
@@ -100,7 +100,7 @@
 
 
 def test_urgent_gang_preempts_on_the_vms_that_it_reserves():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     for number in range(4):
         shard.send(batch(f"b{number}", need=HALF, checkpointable=True))
     shard.send(gang("g1", 4, priority=Priority.URGENT))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,6 +1,6 @@
 from poplaryard.messages import AttemptState, WorkKind
 from poplaryard.resources import Resources
-from tests.shard import Shard, batch, plain
+from tests.shard import Shard, batch, batch_config
 
 SMALL = Resources(1000, 1024, 0)
 
@@ -16,7 +16,7 @@
 
 def test_vm_that_fails_everything_gets_no_more_work():
     """Guards against tasks being retried on a VM that fails all it starts."""
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("first", need=SMALL))
     bad = shard.started(WorkKind.BATCH)[0].vm
     for number in range(24):
@@ -31,7 +31,7 @@
 
 
 def test_ejected_vm_returns():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("first", need=SMALL))
     bad = shard.started(WorkKind.BATCH)[0].vm
     for number in range(24):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -7,7 +7,7 @@
 from poplaryard.placement import Task, choose
 from poplaryard.resources import Resources
 from tests.builders import configuration, vm_spec, work
-from tests.shard import Shard, batch, plain
+from tests.shard import Shard, batch, batch_config
 from tests.test_fleet import SHAPES, fleet_of
 
 
@@ -26,7 +26,7 @@
 
 
 def test_replica_without_gpu_need_avoids_gpu_vms():
-    config = plain(vms=1)
+    config = batch_config(vms=1)
     gpu_vm = vm_spec(7, rack="empty", capacity=SHAPES[1])
     shard = Shard(config)
     shard.send(VmUpdate(gpu_vm))
@@ -52,13 +52,13 @@
     ],
 )
 def test_work_that_can_never_be_placed_is_refused_at_once(fields, sentence):
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(Submit(work("b1", **{"kind": WorkKind.BATCH, "target": "", **fields})))
     assert [(a.code, a.detail) for a in shard.answers] == [(Code.UNPLACEABLE, sentence)]
 
 
 def test_explain_says_why_work_waits():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1"))
     shard.send(batch("b2"))
     assert shard.scheduler.explain("b2") == (
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,6 +1,6 @@
 from poplaryard.messages import AttemptState, Priority, StopMode, WorkKind
 from poplaryard.resources import Resources
-from tests.shard import BIG, Shard, batch, plain
+from tests.shard import BIG, Shard, batch, batch_config
 
 HALF = Resources(8000, 1024, 0)
 
@@ -10,7 +10,7 @@
 
 
 def test_checkpointable_work_gives_way_and_runs_again():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1", checkpointable=True))
     shard.send(urgent())
     (stop,) = shard.stops
@@ -23,7 +23,7 @@
 
 def test_checkpoint_that_takes_too_long_becomes_a_stop():
     """Guards against a hung checkpoint delaying urgent work beyond 2.3 s."""
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1", checkpointable=True))
     shard.send(urgent())
     shard.tick(1.2)
@@ -32,7 +32,7 @@
 
 def test_work_that_may_not_run_twice_is_never_preempted():
     for fields in ({"idempotent": False}, {"exclusive_key": "k"}):
-        shard = Shard(plain())
+        shard = Shard(batch_config())
         shard.send(batch("b1", **fields))
         shard.send(urgent())
         assert shard.stops == []
@@ -40,7 +40,7 @@
 
 def test_urgent_work_with_room_still_waits_for_its_exclusive_key():
     """Guards against held room being used while the key is taken elsewhere."""
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("b1", checkpointable=True))
     shard.send(batch("b2", checkpointable=True))
     shard.send(urgent(exclusive_key="k"))
@@ -52,7 +52,7 @@
 
 
 def test_share_of_a_waiting_team_is_reclaimed_from_one_above_its_own():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     for number in range(4):
         shard.send(batch(f"a{number}", need=HALF, team="a", checkpointable=True))
     shard.send(batch("b", need=HALF, team="b"))
@@ -65,7 +65,7 @@
 
 
 def test_least_work_is_lost():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("old"))
     shard.now = 100.0
     shard.send(batch("young"))
@@ -75,7 +75,7 @@
 
 
 def test_work_behind_urgent_work_does_not_take_the_room_made_for_it():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1", checkpointable=True))
     shard.send(urgent())
     shard.send(batch("b2", need=Resources(4000, 1024, 0)))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -19,7 +19,7 @@
 from poplaryard.scheduler import ShardScheduler
 from poplaryard.takeover import Takeover
 from tests.builders import configuration, work
-from tests.shard import BIG, Shard, batch, plain
+from tests.shard import BIG, Shard, batch, batch_config
 
 
 def test_replicas_named_by_the_ticket_are_started():
@@ -46,7 +46,7 @@
 
 def test_charge_is_released_once_when_a_report_is_repeated():
     """Guards against a duplicated report freeing room twice."""
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1"))
     (start,) = shard.started(WorkKind.BATCH)
     shard.end(start)
@@ -59,7 +59,7 @@
 
 def test_unreachable_worker_counts_as_full_until_the_lease_wait_ends():
     """Guards against a task being run again while its lease may still hold."""
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("b1"))
     (first,) = shard.started(WorkKind.BATCH)
     shard.claimable = False
@@ -72,7 +72,7 @@
 
 
 def test_lost_non_idempotent_work_is_never_run_again():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("b1", idempotent=False))
     shard.claimable = False
     shard.send(WorkerUnreachable(shard.started(WorkKind.BATCH)[0].vm))
@@ -83,7 +83,7 @@
 
 def test_start_without_reply_is_not_repeated_while_it_is_valid():
     """Guards against a delayed start running next to its repetition."""
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.start_code = None
     shard.send(batch("b1"))
     shard.send(WorkerUnreachable(shard.started(WorkKind.BATCH)[0].vm))
@@ -97,7 +97,7 @@
 
 def test_start_without_reply_that_the_worker_does_not_know_may_have_run():
     """Guards against a second run when the worker was restarted after the first."""
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.start_code = None
     shard.send(batch("b1", idempotent=False))
     shard.running.clear()
@@ -109,7 +109,7 @@
 
 
 def test_refused_start_is_tried_again():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.start_code = Code.WORKER_FULL
     shard.send(batch("b1"))
     shard.start_code = Code.OK
@@ -119,7 +119,7 @@
 
 
 def test_nothing_is_started_after_the_authority_has_lapsed():
-    shard = Shard(plain(), until=1.0)
+    shard = Shard(batch_config(), until=1.0)
     shard.now = 1.0
     shard.send(batch("b1"))
     assert not shard.starts
@@ -127,7 +127,7 @@
 
 def test_claim_reply_that_a_later_report_overtook_charges_nothing():
     """Guards against an ended attempt being adopted from an outdated reply."""
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1"))
     (start,) = shard.started(WorkKind.BATCH)
     shard.claimable = False
@@ -140,7 +140,7 @@
 
 
 def test_cancelled_work_is_answered_not_run_only_if_it_never_started():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(batch("b1"))
     shard.send(batch("b2"))
     shard.send(Cancel("b2"))
@@ -152,7 +152,7 @@
 
 def test_work_on_one_exclusive_key_never_runs_twice_at_once():
     """Guards against a retry or a second request overtaking the first."""
-    shard = Shard(plain(vms=4))
+    shard = Shard(batch_config(vms=4))
     for number in range(3):
         shard.send(batch(f"b{number}", exclusive_key="pass-1", idempotent=False))
     shard.send(batch("other", exclusive_key="pass-2"))
@@ -165,7 +165,7 @@
 
 
 def test_key_of_a_lost_attempt_stays_taken_until_its_lease_has_ended():
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     shard.send(batch("b1", exclusive_key="k", idempotent=False))
     shard.send(batch("b2", exclusive_key="k", idempotent=False))
     shard.claimable = False
@@ -177,7 +177,7 @@
 
 
 def test_exclusive_work_is_answered_not_run_while_ownership_is_uncertain():
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.send(Authority("dc1/0", 1, 1000.0, exclusive=False))
     shard.send(batch("b1", exclusive_key="k"))
     shard.send(batch("b2", need=Resources(1000, 1024, 0)))
@@ -188,7 +188,7 @@
 
 def test_work_is_not_called_not_run_while_a_worker_of_the_old_owner_is_unclaimed():
     """Guards against "expired, not run" for what an unclaimed worker has run."""
-    shard = Shard(plain())
+    shard = Shard(batch_config())
     shard.claimable = False
     shard.send(Authority("dc1/0", 2, 1000.0))
     shard.send(batch("b1", deadline=1.0))
@@ -214,7 +214,7 @@
 
 def test_tasks_that_an_old_owner_may_have_run_are_not_started():
     """Guards against a second run once the old owner's leases have ended (P5)."""
-    config = plain(vms=2)
+    config = batch_config(vms=2)
     first, second = config.vms("dc1")
     scheduler = ShardScheduler("dc1/0", "p1", random.Random(1))
     names = [first.name, second.name]
@@ -249,7 +249,7 @@
 
 
 def test_waiting_work_is_handed_back_when_the_authority_lapses():
-    shard = Shard(plain(), until=10.0)
+    shard = Shard(batch_config(), until=10.0)
     shard.send(batch("b1"))
     shard.send(batch("b2"))
     shard.tick(11.0)
@@ -259,7 +259,7 @@
 def test_wave_of_cancellations_frees_nothing_twice_and_is_spread_out():
     """Guards against 10,000 stops in one call, which would delay all placement."""
     small = Resources(1, 1, 0)
-    shard = Shard(plain(vms=2))
+    shard = Shard(batch_config(vms=2))
     for number in range(10):
         shard.send(batch(f"b{number}", need=small, tasks=1000))
     most = max(len(shard.send(Cancel(f"b{number}"))) for number in range(10))
