--- a/src/poplaryard/admission.py
+++ b/src/poplaryard/admission.py
@@ -106,15 +106,15 @@
     """Teams of a class that submitted work recently."""
 
     def __init__(self) -> None:
-        self._last: OrderedDict[str, float] = OrderedDict()
+        self._last_submit: OrderedDict[str, float] = OrderedDict()
 
     def add(self, now: float, team: str) -> int:
         """Add a team and return the number of recent teams."""
-        self._last[team] = now
-        self._last.move_to_end(team)
-        while next(iter(self._last.values())) < now - _ACTIVE_TEAM_S:
-            self._last.popitem(last=False)
-        return len(self._last)
+        self._last_submit[team] = now
+        self._last_submit.move_to_end(team)
+        while next(iter(self._last_submit.values())) < now - _ACTIVE_TEAM_S:
+            self._last_submit.popitem(last=False)
+        return len(self._last_submit)
 
 
 class _StartRate:
--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -81,11 +81,11 @@
 
     def submit(self, now: float, job: Job) -> None:
         """Start or queue a new job, or refuse it."""
-        detail = self.reasons.never(job, self.gangs)
+        detail = self.reasons.unplaceable(job, self.gangs)
         if detail:
             self._results.refuse(now, job, Code.UNPLACEABLE, detail)
             return
-        detail = self.reasons.beyond_quota(job)
+        detail = self.reasons.exceeds_team_limit(job)
         if detail:
             self._results.refuse(now, job, Code.QUOTA_EXCEEDED, detail)
             return
@@ -265,10 +265,10 @@
         team = job.work.team
         if not self._state.quotas.allowed(team, self._starter.charge(job)):
             self._blocked.add((lane, team))
-        elif not self._blocks_no_other(job):
+        elif not self._blocks_only_itself(job):
             self._blocked.add(lane)
 
-    def _blocks_no_other(self, job: Job) -> bool:
+    def _blocks_only_itself(self, job: Job) -> bool:
         """Return whether a job waits for something that jobs behind it do not need."""
         if job.held:
             return True
@@ -306,7 +306,7 @@
             self._parking.wait_for_key(job)
             return True
         if not work.idempotent and not job.fresh:
-            job.fresh = self._state.may_run_unknown(work.issued_at)
+            job.fresh = self._state.may_run_unreported(work.issued_at)
             if not job.fresh:
                 self._results.give_up(now, job, Code.UNKNOWN_OUTCOME)
                 return True
@@ -336,7 +336,7 @@
             return False
         charge = self._starter.charge(job)
         if not self._state.quotas.allowed(job.work.team, charge):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if not self._queues.may_start(now, entry):
             job.reason = self.reasons.kept_for_short(job)
@@ -367,7 +367,7 @@
         charge = self._starter.charge(job)
         whole = charge.times(len(job.pending))
         if not self._state.quotas.allowed(job.work.team, whole):
-            job.reason = self.reasons.over_quota(job)
+            job.reason = self.reasons.team_at_limit(job)
             return False
         if self.gangs.hold_all(job, charge):
             self._starter.start_all_held(now, job)
--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -97,7 +97,7 @@
         if takeover.serves_exclusive():
             self._state.room_freed = True
 
-    def update(self, now: float, msg: VmUpdate) -> None:
+    def vm_update(self, now: float, msg: VmUpdate) -> None:
         """Add a VM, or apply its changes."""
         known = msg.vm.name in self._state.fleet.vms
         vm = self._state.fleet.update(msg.vm)
@@ -113,16 +113,16 @@
             if state.awaiting_first_claim or now < state.owned_since + CLAIMS_WAIT_S:
                 state.awaiting_first_claim.add(vm.name)
             self._claim(now, vm)
-        self._note_leaving(now, vm)
+        self._update_leaving(now, vm)
 
-    def gone(self, now: float, msg: VmGone) -> None:
+    def vm_gone(self, now: float, msg: VmGone) -> None:
         """Give up a VM; it is removed once nothing can run on it any more."""
         vm = self._state.fleet.vms.get(msg.vm)
         if vm is not None:
             self._gone.add(vm.name)
             self._set_unclaimed(now, vm)
 
-    def unreachable(self, now: float, name: str) -> None:
+    def worker_unreachable(self, now: float, name: str) -> None:
         """Record that a worker has not answered; nothing is placed there."""
         vm = self._state.fleet.vms.get(name)
         if vm is None or name in self._gone:
@@ -165,7 +165,7 @@
             vm.clock_ms, vm.clock_at = msg.clock_ms, now
         if msg.leaving or (vm.reported_leaving and not outdated):
             vm.reported_leaving = msg.leaving
-            self._note_leaving(now, vm)
+            self._update_leaving(now, vm)
         for report in msg.attempts:
             # An outdated report of an ended attempt still holds, unlike one of a
             # running attempt.
@@ -184,7 +184,7 @@
                 self.lose_authority()
             self._results.not_run(now, attempt)
         else:
-            self.unreachable(now, msg.vm)
+            self.worker_unreachable(now, msg.vm)
 
     def lose_authority(self) -> None:
         """End the authority, because a worker has seen a higher epoch."""
@@ -243,7 +243,7 @@
         if missing.in_doubt:
             self._in_doubt[vm.name] = vm
         vm.reported_leaving = msg.leaving
-        self._note_leaving(now, vm)
+        self._update_leaving(now, vm)
         state.room_freed = True
         if not state.awaiting_first_claim:
             # Before that, a reconciliation would see only some of the replicas.
@@ -278,9 +278,9 @@
             self._results.progress(vm, attempt, report)
         elif attempt is not None:
             self._health.record(now, vm, attempt, report)
-            self._results.reported(now, attempt, report)
+            self._results.ended(now, attempt, report)
         elif not running:
-            self._results.found(now, report)
+            self._results.ended_untracked(now, report)
         elif running and vm.claimed:
             # A poll reply may lack other attempts, so an unknown attempt is charged
             # only from the claim reply.
@@ -290,7 +290,7 @@
         if self._state.attempts.confirm(now, attempt) and attempt.is_replica:
             self._state.room_freed = True
 
-    def _note_leaving(self, now: float, vm: Vm) -> None:
+    def _update_leaving(self, now: float, vm: Vm) -> None:
         leaving = vm.listed_leaving or vm.reported_leaving
         if leaving and not vm.leaving:
             self._state.audit_vm("leaving", vm.name)
@@ -302,6 +302,7 @@
             self._state.room_freed = True
 
     def _check_unclaimed(self, now: float, vm: Vm) -> None:
+        """End the attempts whose leases have ended; claim the worker or remove it."""
         for attempt in self._state.attempts.on_vm(vm):
             if now >= lost_after(attempt, vm.lost_at):
                 self._results.lost(now, attempt)
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -21,7 +21,7 @@
 from .outcome import Ledger, Registered
 from .ownership_messages import Heartbeat, HeartbeatReply, ProvenDead
 from .resources import Resources
-from .routing import home_shard, key_of, shard_names, shard_of_vm
+from .routing import home_shard, routing_key, shard_names, shard_of_vm
 from .takeover import Takeover
 
 __all__ = ["MECHANISMS", "World"]
@@ -148,7 +148,7 @@
 
     def shard_for(self, work: Work, node: Node) -> str:
         """Return the shard that an entry process chooses for work."""
-        key = key_of(work)
+        key = routing_key(work)
         if key:
             return home_shard(key, self.all_shards())
         return home_shard(work.request_id, self.shards(node.dc))
@@ -184,7 +184,7 @@
         if self.lacks("known"):
             ownership._is_known = lambda old, before: True
         if self.lacks("lease_end"):
-            ownership._assignment.free_owner = ownership.owner_of
+            ownership._assignment.last_owner_if_free = ownership.owner_of
 
     def weaken_takeover(self, takeover: Takeover) -> None:
         """Take mechanisms out of a take-over."""
@@ -192,7 +192,7 @@
         if self.lacks("claim"):
             weak.may_place = lambda vm: True
         if self.lacks("unknown_outcome"):
-            weak.may_run_unknown = lambda issued_at: True
+            weak.may_run_unreported = lambda issued_at: True
 
     def weaken_ledger(self, ledger: Ledger) -> None:
         """Take the check for known ids out of a ledger."""
--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -69,6 +69,7 @@
     def __init__(self, state: ShardState, estimator: Estimator):
         self._state = state
         self._estimator = estimator
+        # By whether the gang needs GPUs.
         self._reserved: dict[bool, Reservation] = {}
 
     def max_parallel(self, need: Resources, group: str) -> int:
@@ -77,7 +78,7 @@
         return sum(count_fits(need, shape) * count for shape, count in shapes.items())
 
     def hold_all(self, job: Job, need: Resources) -> bool:
-        """Hold room that is free now for every pending task; False if some lack it."""
+        """Hold room that is free now for all pending tasks or none; False if none."""
         fleet, group = self._state.fleet, job.work.group
         if fleet.index.max_tasks(need, group) < len(job.pending):
             return False
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -237,7 +237,7 @@
         return ShardTaken(shard, epoch, old.owner, known, wait, handed_over=left)
 
     def _is_known(self, old: ShardOwner, before: Record) -> bool:
-        """Tell whether all authority over a shard has ended or soon ends."""
+        """Return whether all authority over a shard has ended or soon ends."""
         if old.uncertain:
             return False
         if not old.owner or self.promises.is_dead(old.owner):
@@ -308,11 +308,15 @@
         return wait
 
     def _note_free(self, now: float) -> None:
-        free = [s for s in self._shards if self._assignment.free_owner(s) is not None]
+        free = [
+            s
+            for s in self._shards
+            if self._assignment.last_owner_if_free(s) is not None
+        ]
         self._free_since = {s: self._free_since.get(s, now) for s in free}
 
     def _may_take(self, now: float, shard: str) -> bool:
-        owner = self._assignment.free_owner(shard)
+        owner = self._assignment.last_owner_if_free(shard)
         if owner == self.process:
             return False
         return not owner or self.promises.given_until(owner) <= now
@@ -321,9 +325,9 @@
         self._acquire_at = now + ACQUIRE_S
         old = self.record.shards.get(shard)
         uncertain = old is not None and not self._is_known(old, self.record)
-        record = self.record.taken(shard, self.process, uncertain)
+        record = self.record.with_owner(shard, self.process, uncertain)
         taken = self._taken(shard, record.shards[shard].epoch)
-        victim = self._assignment.free_owner(shard) or ""
+        victim = self._assignment.last_owner_if_free(shard) or ""
         return self._assignment.send(record, (taken,), victim)
 
     def _shard_settled(self, now: float, message: ShardSettled) -> list[t.Any]:
@@ -339,7 +343,7 @@
             for shard, owned in self._owned.items()
             if owned.settled and self.record.shards[shard].uncertain
         ]
-        return self._assignment.send(self.record.settled(done)) if done else []
+        return self._assignment.send(self.record.with_settled(done)) if done else []
 
     # Release
 
@@ -364,7 +368,7 @@
             owned = self._owned.pop(shard, None)
             if owned is not None:
                 out.append(ShardReleased(shard, owned.epoch, successor))
-        record = self.record.released(chosen)
+        record = self.record.with_released(chosen)
         return out + self._assignment.send(record, releases=True)
 
     def _revoke(self) -> list[t.Any]:
--- a/src/poplaryard/reserve.py
+++ b/src/poplaryard/reserve.py
@@ -74,18 +74,18 @@
     ) -> None:
         """Account for a started attempt; a repeated call changes nothing."""
         if attempt_id not in self._attempts:
-            held = self._attempts[attempt_id] = _AttemptUsage(
+            usage = self._attempts[attempt_id] = _AttemptUsage(
                 charge, long, checkpointable
             )
-            self._adjust(now, held, charge)
+            self._adjust(now, usage, charge)
 
     def ended(self, now: float, attempt_id: str) -> None:
         """Account for an ended attempt; a repeated call changes nothing."""
-        held = self._attempts.pop(attempt_id, None)
-        if held is not None:
-            self._adjust(now, held, ZERO - held.charge)
-            if held.yielding:
-                self._yielding = self._yielding - held.charge
+        usage = self._attempts.pop(attempt_id, None)
+        if usage is not None:
+            self._adjust(now, usage, ZERO - usage.charge)
+            if usage.yielding:
+                self._yielding = self._yielding - usage.charge
 
     def long_allowed(self, now: float, need: Resources, checkpointable: bool) -> bool:
         """Return whether one more long task may start."""
@@ -98,7 +98,7 @@
 
     def uncheckpointable_limit(self, now: float) -> float:
         """Return the share of the pool that uncheckpointable long work may hold."""
-        kept = max(self.policy.short_share, _PEAK_MARGIN * self._peak_now(now))
+        kept = max(self.policy.short_share, _PEAK_MARGIN * self._decayed_peak(now))
         return max(_MIN_LONG_SHARE, 1.0 - kept)
 
     def to_yield(self) -> list[str]:
@@ -110,10 +110,10 @@
         chosen: list[str] = []
         if self._long == ZERO or self._free_share() >= _MIN_FREE:
             return chosen
-        for attempt_id, held in reversed(self._attempts.items()):
-            if held.long and held.checkpointable and not held.yielding:
-                held.yielding = True
-                self._yielding = self._yielding + held.charge
+        for attempt_id, usage in reversed(self._attempts.items()):
+            if usage.long and usage.checkpointable and not usage.yielding:
+                usage.yielding = True
+                self._yielding = self._yielding + usage.charge
                 chosen.append(attempt_id)
                 if self._free_share() >= _MIN_FREE:
                     break
@@ -124,21 +124,21 @@
         used = self._held + self._waiting - self._yielding
         return 1.0 - used.dominant_share(self.total)
 
-    def _adjust(self, now: float, held: _AttemptUsage, charge: Resources) -> None:
+    def _adjust(self, now: float, usage: _AttemptUsage, charge: Resources) -> None:
         self._held = self._held + charge
-        if held.long:
+        if usage.long:
             self._long = self._long + charge
-        if held.uncheckpointable:
+        if usage.uncheckpointable:
             self._uncheckpointable = self._uncheckpointable + charge
         self._update_peak(now)
 
     def _update_peak(self, now: float) -> None:
         short = self._held - self._long + self._waiting
         demand = min(1.0, short.dominant_share(self.total))
-        self._peak = max(demand, self._peak_now(now))
+        self._peak = max(demand, self._decayed_peak(now))
         self._peak_at = now
 
-    def _peak_now(self, now: float) -> float:
+    def _decayed_peak(self, now: float) -> float:
         age_s = max(0.0, now - self._peak_at)
         peak: float = self._peak * 0.5 ** (age_s / _PEAK_HALF_LIFE_S)
         return peak
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -98,7 +98,7 @@
             StartReply: self._claims.start_reply,
             Submit: self._on_submit,
             Tick: self._on_tick,
-            VmGone: self._claims.gone,
+            VmGone: self._claims.vm_gone,
             # Only the take-over uses it; see `handle`.
             VmListRead: lambda now, msg: None,
             VmUpdate: self._on_vm_update,
@@ -112,14 +112,14 @@
             return []
         state = self._state
         state.out = []
-        # `Claims.update` forwards a `VmUpdate` itself, once the VM is in the fleet.
+        # `Claims.vm_update` forwards a `VmUpdate` itself, once the VM is in the fleet.
         if type(msg) is not VmUpdate:
             self._claims.forward_to_takeover(now, msg)
         handler(now, msg)
         self._results.send_stops(now)
         if self._capacity_changed:
             self._capacity_changed = False
-            self._replicas.share_out()
+            self._replicas.update_wanted()
             self._backlog.configure()
         self._replicas.reconcile(now, type(msg) is Tick)
         self._backlog.run(now)
@@ -176,18 +176,18 @@
             self._capacity_changed = True
 
     def _on_vm_update(self, now: float, msg: VmUpdate) -> None:
-        self._claims.update(now, msg)
+        self._claims.vm_update(now, msg)
         self._capacity_changed = True
 
     def _on_unreachable(self, now: float, msg: WorkerUnreachable) -> None:
-        self._claims.unreachable(now, msg.vm)
+        self._claims.worker_unreachable(now, msg.vm)
         vm = self._state.fleet.vms.get(msg.vm)
         if vm is not None:
             self._backlog.gangs.vm_lost(vm)
 
     def _on_leaving(self, now: float, vm: Vm) -> None:
         """Move replicas away and checkpoint what can be; the rest runs to its end."""
-        self._replicas.leaves(now, vm)
+        self._replicas.vm_leaving(now, vm)
         self._backlog.gangs.vm_lost(vm)
         for attempt in self._state.attempts.on_vm(vm):
             work = attempt.work
@@ -198,13 +198,13 @@
 
     def _on_submit(self, now: float, msg: Submit) -> None:
         work, state = msg.work, self._state
-        may_run = work.idempotent or state.may_run_unknown(work.issued_at)
+        may_run = work.idempotent or state.may_run_unreported(work.issued_at)
         found = self._results.ledger.register(
             now,
             msg.wall,
             work,
             attempt=msg.attempt or None,
-            may_run_unknown=may_run,
+            may_run_unreported=may_run,
         )
         if found.answer is not None:
             state.out.append(replace(found.answer, reply_to=msg.reply_to))
@@ -221,7 +221,7 @@
         job = Job(work, msg.reply_to, now, deque(open_tasks))
         job.ran = not state.excludes_earlier_run(now, msg.wall, work)
         state.add_job(job)
-        self._results.take_running(job)
+        self._results.attach_running(job)
         if work.deadline <= now:
             self._results.expire(now)
         elif work.kind is WorkKind.REQUEST and work.target not in state.pools:
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -100,8 +100,8 @@
         """
         if self.takeover is not None:
             return self.authority.exclusive and self.takeover.serves_exclusive()
-        known = bool(self.fleet.vms) and not self.awaiting_first_claim
-        return self.authority.exclusive and known
+        all_claimed = bool(self.fleet.vms) and not self.awaiting_first_claim
+        return self.authority.exclusive and all_claimed
 
     def excludes_earlier_run(self, now: float, wall: float, work: Work) -> bool:
         """Return whether no earlier owner can have run work that no worker reports.
@@ -116,7 +116,7 @@
             return self.takeover.state == "complete"
         return not self.awaiting_first_claim
 
-    def may_run_unknown(self, issued_at: float) -> bool:
+    def may_run_unreported(self, issued_at: float) -> bool:
         """Return whether a non-idempotent request that no worker reports may be run.
 
         Parameters
@@ -128,7 +128,7 @@
             # The work waits until `serves_exclusive`, and is checked again before it
             # is started.
             return True
-        return self.takeover.may_run_unknown(issued_at)
+        return self.takeover.may_run_unreported(issued_at)
 
     def start(self, now: float, start: Start) -> Attempt | None:
         """Charge a VM and send it a start; return None if the authority has lapsed."""
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -21,7 +21,7 @@
 
 
 class Workers:
-    """Worker interface that records the calls and fails when told to."""
+    """Worker client that records its calls and fails on demand."""
 
     def __init__(self):
         self.calls = []
@@ -134,7 +134,7 @@
         self.assertEqual([Code.NO_AUTHORITY], [item.code for item in posted])
 
     def test_failures_are_posted(self):
-        """Guards against a lost start that is never cleared up."""
+        """Guards against a failed start whose outcome is never settled."""
 
         def steps(link):
             link.start(start(1))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -26,7 +26,7 @@
     assert len(Shard().started(WorkKind.SERVICE)) == 2
 
 
-def test_request_goes_to_a_replica_and_is_answered_whole():
+def test_request_goes_to_replicas_and_is_answered_once_all_tasks_have_ended():
     shard = Shard()
     shard.send(Submit(work("r1", tasks=2)))
     first, second = shard.started(WorkKind.REQUEST)
@@ -45,7 +45,7 @@
 
 
 def test_charge_is_released_once_when_a_report_is_repeated():
-    """Guards against a duplicated report freeing room twice."""
+    """Guards against a duplicated report that releases a charge twice."""
     shard = Shard(batch_config())
     shard.send(batch("b1"))
     (start,) = shard.started(WorkKind.BATCH)
@@ -151,7 +151,7 @@
 
 
 def test_work_on_one_exclusive_key_never_runs_twice_at_once():
-    """Guards against a retry or a second request overtaking the first."""
+    """Guards against a retry or a second request that runs next to the first."""
     shard = Shard(batch_config(vms=4))
     for number in range(3):
         shard.send(batch(f"b{number}", exclusive_key="pass-1", idempotent=False))
@@ -186,8 +186,8 @@
     assert shard.codes() == [Code.EXCLUSIVE_PAUSED]
 
 
-def test_work_is_not_called_not_run_while_a_worker_of_the_old_owner_is_unclaimed():
-    """Guards against "expired, not run" for what an unclaimed worker has run."""
+def test_work_is_not_answered_not_run_while_a_worker_of_the_old_owner_is_unclaimed():
+    """Guards against "expired, not run" for work that an unclaimed worker has run."""
     shard = Shard(batch_config())
     shard.claimable = False
     shard.send(Authority("dc1/0", 2, 1000.0))
@@ -197,7 +197,7 @@
 
 
 def test_take_over_can_hold_back_the_claim_of_a_new_vm():
-    """Guards against a claim that a successor with an older VM list misses."""
+    """Guards against a claim on a VM that a successor's older VM list lacks."""
     config = configuration(vms=2)
     first, second = config.vms("dc1")
     scheduler = ShardScheduler("dc1/0", "p1", random.Random(1))
@@ -230,8 +230,12 @@
     assert not [m for m in out if isinstance(m, StartAttempt)]
 
 
-def test_vms_named_after_the_authority_are_all_claimed_before_anything_is_sure():
-    """Guards against all replicas on the first VM, and exclusive work too early."""
+def test_vms_that_follow_the_authority_are_claimed_before_exclusive_work_starts():
+    """Guards against all replicas on the first VM, and exclusive work too early.
+
+    A scheduler that counts only the VMs announced before its authority takes the first
+    claim reply for the last one.
+    """
     config = configuration(vms=2)
     first, second = config.vms("dc1")
     scheduler = ShardScheduler("dc1/0", "p1", random.Random(1))
@@ -256,7 +260,7 @@
     assert shard.codes() == [Code.NOT_OWNER]
 
 
-def test_wave_of_cancellations_frees_nothing_twice_and_is_spread_out():
+def test_many_cancellations_release_charges_once_and_spread_their_stops():
     """Guards against 10,000 stops in one call, which would delay all placement."""
     small = Resources(1, 1, 0)
     shard = Shard(batch_config(vms=2))
