--- a/src/poplaryard/fleet.py
+++ b/src/poplaryard/fleet.py
@@ -9,7 +9,7 @@
 
 __all__ = ["Fleet", "Vm"]
 
-# Largest number of needs for which the largest fitting shape is cached.
+# Number of needs for which the largest fitting shape is cached.
 SHAPE_CACHE_SIZE = 4096
 
 
--- a/src/poplaryard/preemption.py
+++ b/src/poplaryard/preemption.py
@@ -28,9 +28,9 @@
     Attributes
     ----------
     stopped : int
-        Attempts that cannot be checkpointed.
+        Number of attempts that cannot be checkpointed.
     lost_s : float
-        Total time for which those have run.
+        Total time for which those have run, in seconds.
     """
 
     stopped: int
--- a/src/poplaryard/shards.py
+++ b/src/poplaryard/shards.py
@@ -40,6 +40,7 @@
 ANSWERS_KEPT = 20_000
 # Messages handled before other tasks of the event loop run again.
 SLICE = 128
+# Interval of ticks while requests wait or were submitted recently, and otherwise.
 BUSY_TICK_S = 0.1
 IDLE_TICK_S = 0.5
 _BUSY_AFTER_MESSAGE_S = 2.0
