--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -2,7 +2,7 @@
 
 from poplaryard.configuration import Policy
 from poplaryard.messages import Priority, WorkKind
-from poplaryard.queues import Pending, WaitQueues
+from poplaryard.queues import QueueEntry, WaitQueues
 from poplaryard.resources import Resources
 from tests.builders import work
 
@@ -10,7 +10,7 @@
 def entry(sequence, **fields):
     fields = {"kind": WorkKind.BATCH, "target": "", "group": "booking", **fields}
     item = work(f"r{sequence}", **fields)
-    return Pending(item, arrived=float(sequence), sequence=sequence)
+    return QueueEntry(item, arrived=float(sequence), sequence=sequence)
 
 
 def ids(entries):
@@ -49,7 +49,7 @@
         self.assertEqual(["r1"], ids(self.queues.expire(5.0)))
         self.assertEqual(1, len(self.queues))
 
-    def test_remove_frees_the_depths(self):
+    def test_remove_lowers_the_depths(self):
         """Guards against a class or team that stays full after cancellations."""
         item = entry(1, team="a")
         self.push(item)
@@ -65,7 +65,7 @@
         self.assertEqual(["r1", "r2"], ids(self.queues.candidates(3.0, 10)))
 
     def test_long_work_leaves_the_reserved_share(self):
-        """Guards against long work that takes the capacity kept for short work."""
+        """Guards against long work in the capacity kept for short work."""
         running = entry(1, declared_s=100.0)
         self.push(running, entry(2, declared_s=100.0, need=Resources(1, 0, 0)))
         self.queues.remove("r1")
@@ -75,7 +75,7 @@
         self.assertEqual(["r2"], ids(self.queues.candidates(2.0, 10)))
 
     def test_each_start_is_checked_against_the_reserve(self):
-        """Guards against a batch of long work that was allowed as one."""
+        """Guards against several long starts allowed by a single check."""
         need = Resources(450, 0, 0)
         first, second = (entry(n, declared_s=100.0, need=need) for n in (1, 2))
         self.push(first, second)
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -18,7 +18,7 @@
 
 
 class LocalWorkers:
-    """Worker interface on stand-ins, without sockets."""
+    """Worker client that calls stand-ins in the same process, without sockets."""
 
     def __init__(self, config):
         self.vms = {vm.name: WorkerVm(vm.name, vm.capacity) for vm in config.vms("dc1")}
@@ -72,8 +72,8 @@
         deadline = SystemClock().now() + 15.0
         return Submit(work(name, deadline=deadline, **fields), reply_to)
 
-    def test_every_asking_process_gets_the_answer(self):
-        """Guards against an answer that goes only to the first or the last asker."""
+    def test_every_process_that_asks_gets_the_answer(self):
+        """Guards against an answer sent only to the first or the last process."""
 
         async def scenario(task):
             payload = {"echo": 7, "run_ms": 50}
@@ -90,7 +90,7 @@
         self.run_shard(scenario)
 
     def test_an_id_from_before_a_take_over_is_not_run_again(self):
-        """Guards against a second run of what an old owner ran on a VM that left."""
+        """Guards against a second run of work whose first run was on a VM that left."""
 
         async def scenario(task):
             wall = SystemClock().wall()
@@ -108,7 +108,7 @@
         self.run_shard(scenario, epoch=2, taken=taken)
 
     def test_another_body_under_the_same_id_is_refused_alone(self):
-        """Guards against one caller's mistake that answers another's request."""
+        """Guards against one caller's mistake ending the request of another."""
 
         async def scenario(task):
             task.submit(self.submit("r1", "p#1", payload={"run_ms": 50}))
@@ -121,7 +121,7 @@
         self.run_shard(scenario)
 
     def test_a_full_queue_refuses_only_new_work(self):
-        """Guards against "not run" for work that was taken before."""
+        """Guards against "not run" for work that was accepted before."""
 
         async def scenario(task):
             self.patch(shards, "QUEUE_LIMIT", 0)
@@ -142,8 +142,8 @@
 
         self.run_shard(scenario)
 
-    def test_actions_are_told_to_the_audit_trail(self):
-        """Guards against a trail that shows tickets but not what followed from them."""
+    def test_actions_are_passed_to_the_audit_trail(self):
+        """Guards against an audit trail that lacks the effects of a ticket."""
 
         async def scenario(task):
             await self.until(lambda: task.scheduler.snapshot().replicas == 2)
@@ -168,7 +168,7 @@
             task.vm_leaving("dc1-vm000", True)
             task.vm_gone("dc1-vm001")
             await self.until(lambda: task.scheduler.snapshot().usable == 0)
-            # What runs there goes on until it is drained.
+            # The replicas there keep running until they are drained.
             self.assertEqual(before, (len(vm.records), vm.used()))
 
         self.run_shard(scenario)
