--- a/src/poplaryard/acquisition.py
+++ b/src/poplaryard/acquisition.py
@@ -1,4 +1,4 @@
-"""Which shards to take and to whom to hand them over, from the record alone."""
+"""Rules for the acquisition and handover of shards; functions of the record alone."""
 
 import typing as t
 
@@ -6,7 +6,7 @@
 from .routing import ranked
 
 __all__ = [
-    "counts",
+    "shard_counts",
     "last_owner_if_free",
     "least_loaded",
     "live_members",
@@ -15,25 +15,26 @@
     "wait_s",
 ]
 
-# Wait of a candidate for each candidate that ranks before it.
+# Additional wait of a candidate for each candidate that ranks before it.
 RANK_WAIT_S = 0.2
 
-# Time for which others leave a released shard to its named successor.
+# Time for which other members leave a released shard to its named successor.
 SUCCESSOR_S = 2.0
 
 
 def live_members(record: Record, ended_leases: t.Container[str]) -> list[str]:
-    """Return the members whose store lease has not been seen to end, sorted."""
-    found = record.members.items()
-    return sorted(name for name, item in found if item.lease not in ended_leases)
+    """Return the members whose store lease is not known to have ended, sorted."""
+    members = record.members.items()
+    return sorted(name for name, item in members if item.lease not in ended_leases)
 
 
 def last_owner_if_free(
     record: Record, shard: str, ended_leases: t.Container[str]
 ) -> str | None:
-    """Return the last owner of a shard that may be taken, "" if it has none.
+    """Return the last owner of a shard if the shard is free, else None.
 
-    None if the shard's owner holds its lease.
+    A shard is free if it was released or never owned, which returns "", or if the lease
+    of its owner has ended.
     """
     entry = record.shards.get(shard)
     if entry is None or not entry.owner:
@@ -45,7 +46,7 @@
 
 
 def wait_s(record: Record, shard: str, process: str, live: t.Collection[str]) -> float:
-    """Return how long a process waits before it takes a free shard."""
+    """Return the time in seconds for which a process waits before it takes a shard."""
     entry = record.shards.get(shard)
     successor = entry.successor if entry and not entry.owner else ""
     if successor == process:
@@ -55,36 +56,42 @@
 
 
 def rank(shard: str, process: str, members: t.Iterable[str]) -> int:
-    """Return the place of a process among the candidates for a shard."""
+    """Return the rank of a process, from 0, among the candidates for a shard."""
     return ranked(shard, members).index(process)
 
 
-def counts(record: Record, members: t.Iterable[str]) -> dict[str, int]:
-    """Return how many shards each of `members` owns."""
-    found = dict.fromkeys(members, 0)
+def shard_counts(record: Record, members: t.Iterable[str]) -> dict[str, int]:
+    """Return how many shards each of `members` owns or is to receive."""
+    owned = dict.fromkeys(members, 0)
     for entry in record.shards.values():
         name = entry.owner or entry.successor
-        if name in found:
-            found[name] += 1
-    return found
+        if name in owned:
+            owned[name] += 1
+    return members
 
 
 def least_loaded(record: Record, members: t.Iterable[str], shard: str) -> str:
-    """Return the member with the fewest shards; ties go by rendezvous order."""
-    held = counts(record, members)
-    order = ranked(shard, held)
-    return min(order, key=lambda name: held[name], default="")
+    """Return the member with the fewest shards; "" if `members` is empty.
+
+    Ties go by the rendezvous order of the shard.
+    """
+    owned = shard_counts(record, members)
+    order = ranked(shard, owned)
+    return min(order, key=lambda name: owned[name], default="")
 
 
 def successors(
     record: Record, members: t.Sequence[str], shards: t.Iterable[str]
 ) -> dict[str, str]:
-    """Return a successor for each of several shards, evening out the numbers."""
-    held = counts(record, members)
+    """Return a successor for each shard, so that members own similar numbers of them.
+
+    The successor is "" if `members` is empty.
+    """
+    owned = shard_counts(record, members)
     chosen: dict[str, str] = {}
     for shard in shards:
-        order = ranked(shard, held)
-        chosen[shard] = min(order, key=lambda name: held[name], default="")
+        order = ranked(shard, owned)
+        chosen[shard] = min(order, key=lambda name: owned[name], default="")
         if chosen[shard]:
-            held[chosen[shard]] += 1
+            owned[chosen[shard]] += 1
     return chosen
--- a/src/poplaryard/assignment.py
+++ b/src/poplaryard/assignment.py
@@ -1,4 +1,4 @@
-"""View of the assignment record, and the one write of it that is in flight."""
+"""Local view of the assignment record, its reads, and the one write in flight."""
 
 import random
 import typing as t
@@ -17,14 +17,16 @@
 
 __all__ = ["Assignment", "Write"]
 
-# Interval at which every process reads the record, should both watchers fail silently.
+# Interval at which each process reads the record, in case both members that watch it
+# fail unnoticed.
 READ_S = 10.0
 
-# Wait before a release is tried again. It is short because the shard's tasks end with
-# their leases of 4 s unless a successor claims their workers.
+# Shortest and longest wait before a failed release is retried. It is short because the
+# tasks of the shard end with their leases of 4 s unless a successor claims the workers.
 RELEASE_RETRY_S = (0.1, 0.3)
 
-# Waits after conflicts are drawn from a time that doubles between these bounds.
+# The wait after a conflict is uniform between 0 and a bound. The bound is twice
+# `BACKOFF_S` at first and doubles with each further conflict up to `LONGEST_BACKOFF_S`.
 BACKOFF_S = 0.1
 LONGEST_BACKOFF_S = 3.0
 
@@ -35,30 +37,38 @@
 
     Attributes
     ----------
+    record : Record
+        Record to be written.
+    version : int
+        Store version that the write replaces.
     takes : tuple of ShardTaken
-        Notices for the shards that the write takes.
+        Notices for the shards that the write acquires.
     releases : bool
-        Whether the write releases shards, whose tasks nobody renews meanwhile.
-    victim : str
-        Owner whose shard the write takes. It gets no promise until the write is
+        Whether the write releases shards. No owner renews their tasks meanwhile.
+    previous_owner : str
+        Owner from which the write takes a shard. It gets no promise until the write is
         resolved, because the write may take effect after the promise was given.
-    doubtful : bool
-        Whether a copy of the write was sent whose outcome is unknown.
+    outcome_unknown : bool
+        Whether the outcome of a sent copy of the write is unknown.
     """
 
     record: Record
     version: int
     takes: tuple[ShardTaken, ...] = ()
     releases: bool = False
-    victim: str = ""
-    doubtful: bool = False
+    previous_owner: str = ""
+    outcome_unknown: bool = False
 
 
 class Assignment:
-    """Record as last seen, ended leases, and reads and writes.
+    """Latest known assignment record, and the reads and writes of it.
 
     Attributes
     ----------
+    view : RecordSeen
+        Record as last seen, with its store version and the live leases.
+    ended_leases : set of str
+        Leases of members that have been seen to end.
     write : Write or None
         Write in flight.
     write_at : float
@@ -74,21 +84,21 @@
         self._rng = rng
         self._reading = False
         self._read_at = 0.0
-        # Version that a conflict has shown to be out of date.
-        self._stale = -1
+        # Highest version that a conflict has shown to be out of date.
+        self._stale_version = -1
         self._conflicts = 0
 
     @property
     def record(self) -> Record:
-        """Record as last seen."""
+        """Assignment record as last seen."""
         return self.view.record
 
     def live_members(self) -> list[str]:
-        """Return the members whose lease has not been seen to end."""
+        """Return the members whose lease is not known to have ended, sorted."""
         return acquisition.live_members(self.record, self.ended_leases)
 
     def last_owner_if_free(self, shard: str) -> str | None:
-        """Return the last owner of a shard that may be taken, else None."""
+        """Return the last owner of a shard if the shard is free, else None."""
         return acquisition.last_owner_if_free(self.record, shard, self.ended_leases)
 
     def read_due(self, now: float) -> bool:
@@ -97,11 +107,11 @@
 
     def may_write(self, now: float) -> bool:
         """Return whether a write may be sent."""
-        fresh = self.view.version > self._stale
+        fresh = self.view.version > self._stale_version
         return self.write is None and now >= self.write_at and fresh
 
     def read(self, now: float) -> list[t.Any]:
-        """Return the command to read, unless a read is under way."""
+        """Return the command to read the record, unless a read is in progress."""
         if self._reading:
             return []
         self._reading = True
@@ -109,14 +119,17 @@
         return [ReadRecord()]
 
     def read_ended(self) -> None:
-        """Note that a read has been answered or has failed."""
+        """Record that a read has been answered or has failed."""
         self._reading = False
 
-    def learn(self, seen: RecordSeen) -> Write | None:
-        """Take a record; return the write in flight if this record resolves it."""
+    def update(self, seen: RecordSeen) -> Write | None:
+        """Update the view; return the write in flight if this record resolves it.
+
+        A record of a higher version shows whether the write has succeeded.
+        """
         leases = {member.lease for member in seen.record.members.values()}
         self.ended_leases = (self.ended_leases & leases) | (leases - seen.live)
-        # A peer may pass on a view that is older than what is known of the leases here.
+        # A peer may pass on a view that still lists leases already known to have ended.
         live = frozenset(leases - self.ended_leases)
         self.view = RecordSeen(seen.record, seen.version, live)
         write = self.write
@@ -127,31 +140,39 @@
         return write
 
     def written(self, message: RecordWritten, lease: str) -> RecordSeen | None:
-        """Return the record as written, or None if a later one was seen."""
+        """Return the record as written, or None if this or a later one was seen."""
         if self.write is None or message.version <= self.view.version:
             return None
         live = self.view.live | {lease}
         return RecordSeen(self.write.record, message.version, live)
 
-    def again(self) -> list[t.Any]:
-        """Repeat a write of unknown outcome once a read shows no effect of it.
+    def repeat_unknown(self) -> list[t.Any]:
+        """Repeat a write of unknown outcome after a read that shows no effect of it.
 
-        Whichever copy lands first makes the others fail.
+        All copies expect the same version, so that at most one of them succeeds.
         """
         write = self.write
-        if write is None or not write.doubtful or self.view.version != write.version:
+        if (
+            write is None
+            or not write.outcome_unknown
+            or self.view.version != write.version
+        ):
             return []
         return [WriteRecord(write.record, write.version)]
 
     def conflicted(self, now: float) -> list[t.Any]:
-        """Note a conflict; the winner may be an earlier copy of the same write."""
+        """Process a conflict, and schedule the next write and a read before it.
+
+        A write of unknown outcome is kept, because an earlier copy of it may have
+        caused the conflict.
+        """
         write = self.write
         if write is not None:
-            self._stale = max(self._stale, write.version)
-        if write is not None and not write.doubtful:
+            self._stale_version = max(self._stale_version, write.version)
+        if write is not None and not write.outcome_unknown:
             self.write = None
-        # The record is read only when the next write is due: many members that start
-        # at once would otherwise each read it after every conflict.
+        # The record is read only when the next write is due. Otherwise many members
+        # that start at once would each read it after every conflict.
         self._conflicts += 1
         wait = min(LONGEST_BACKOFF_S, BACKOFF_S * 2.0**self._conflicts)
         self.write_at = now + self._rng.uniform(0.0, wait)
@@ -159,7 +180,7 @@
         return []
 
     def failed(self, now: float) -> list[t.Any]:
-        """Note that the store was not reached."""
+        """Process a read or write that did not reach the store."""
         self._reading = False
         write = self.write
         if write is None:
@@ -168,14 +189,14 @@
         self._retry_later(now)
         if write.releases:
             self.write_at = now + self._rng.uniform(*RELEASE_RETRY_S)
-        if not write.doubtful:
+        if not write.outcome_unknown:
             self.write = None
         return []
 
     def unknown(self, now: float) -> list[t.Any]:
-        """Note that the write may or may not take effect."""
+        """Process a write that may or may not have taken effect."""
         if self.write is not None:
-            self.write.doubtful = True
+            self.write.outcome_unknown = True
         self._retry_later(now)
         return []
 
@@ -183,21 +204,21 @@
         self,
         record: Record,
         takes: tuple[ShardTaken, ...] = (),
-        victim: str = "",
+        previous_owner: str = "",
         releases: bool = False,
     ) -> list[t.Any]:
-        """Return the command to write a record."""
-        record = self._tidied(record)
+        """Return the command to write a record, and keep it as the write in flight."""
+        record = self._without_dead_members(record)
         version = self.view.version
-        self.write = Write(record, version, takes, releases, victim)
+        self.write = Write(record, version, takes, releases, previous_owner)
         return [WriteRecord(record, version)]
 
     def _retry_later(self, now: float) -> None:
         self.write_at = now + self._rng.uniform(*RETRY_S)
         self._read_at = min(self._read_at, self.write_at)
 
-    def _tidied(self, record: Record) -> Record:
-        """Leave out members whose lease has ended and that own nothing."""
+    def _without_dead_members(self, record: Record) -> Record:
+        """Return the record without other members that are dead and own no shard."""
         owners = {entry.owner for entry in record.shards.values()}
         gone = [
             name
--- a/src/poplaryard/fencing.py
+++ b/src/poplaryard/fencing.py
@@ -1,4 +1,4 @@
-"""Limits that let a worker refuse calls of an owner whose authority has ended."""
+"""Time limits by which a worker refuses calls of an owner whose authority has ended."""
 
 import math
 
@@ -7,7 +7,7 @@
     "REMEMBERED_S",
     "TASK_LEASE_S",
     "lease_wait_s",
-    "shortened",
+    "drift_safe",
     "valid_until_ms",
 ]
 
@@ -17,17 +17,17 @@
 # Time for which a worker lets a task run after the last renewal of its lease.
 TASK_LEASE_S = 4.0
 
-# Time for which a worker remembers an attempt after its end (G3, G5).
+# Time for which a worker keeps the record of an attempt after its end (G3, G5).
 REMEMBERED_S = 600.0
 
 
-def shortened(seconds: float, drift: float = DRIFT) -> float:
-    """Return how much of a remotely granted time may be used on the own clock."""
+def drift_safe(seconds: float, drift: float = DRIFT) -> float:
+    """Return how much of a remotely granted time is safe to use on the local clock."""
     return seconds * (1.0 - drift)
 
 
 def lease_wait_s(task_lease_s: float = TASK_LEASE_S, drift: float = DRIFT) -> float:
-    """Return the time on the own clock after which an unrenewed task has ended."""
+    """Return the time on the local clock after which an unrenewed task has ended."""
     return task_lease_s * (1.0 + drift)
 
 
@@ -39,19 +39,19 @@
     Parameters
     ----------
     worker_clock_ms : int
-        Last clock reading of the worker in milliseconds.
+        Last reading of the worker's clock that the owner received, in milliseconds.
     received_at : float
-        Time on the owner's clock at which the reading was received, in seconds.
+        Time on the owner's clock at which it received the reading, in seconds.
     authority_until : float
         End of the owner's authority on its own clock, in seconds.
 
     Returns
     -------
     int
-        Milliseconds on the worker's clock, rounded down. It is early by the delay
-        of the reading, and by the drift that the two clocks may have had since then.
+        Milliseconds on the worker's clock, rounded down. The result is early by the
+        network delay of the reading and by the largest drift of the two clocks since.
     """
     if authority_until <= received_at:
         return worker_clock_ms - 1
-    usable = shortened(authority_until - received_at)
+    usable = drift_safe(authority_until - received_at)
     return worker_clock_ms + math.floor(usable * 1000.0)
--- a/src/poplaryard/heartbeats.py
+++ b/src/poplaryard/heartbeats.py
@@ -60,10 +60,10 @@
         return [self._send(now, name, view, owner) for name in targets]
 
     def reply(
-        self, now: float, message: Heartbeat, view: RecordSeen, victim: str
+        self, now: float, message: Heartbeat, view: RecordSeen, previous_owner: str
     ) -> HeartbeatReply:
-        """Answer a heartbeat, with a promise unless its sender is `victim`."""
-        promised = message.owner and message.sender != victim
+        """Answer a heartbeat, with a promise unless its sender is `previous_owner`."""
+        promised = message.owner and message.sender != previous_owner
         if promised:
             self._promise(now, message)
         return HeartbeatReply(
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -6,7 +6,7 @@
 
 from . import acquisition
 from .assignment import Assignment, Write
-from .fencing import lease_wait_s, shortened
+from .fencing import drift_safe, lease_wait_s
 from .heartbeats import Heartbeats
 from .lease import LEASE_TTL_S, SPREAD_S, Lease
 from .messages import Authority, Tick
@@ -49,7 +49,7 @@
 
 # Longest authority given at a time, and renewed with each tick: as long as that of a
 # store lease, so that a worker's view of it never depends on the source.
-AUTHORITY_S = shortened(LEASE_TTL_S)
+AUTHORITY_S = drift_safe(LEASE_TTL_S)
 
 # Longest wait for a new lease of a process whose shards are not fully served.
 SHORT_SPREAD_S = 0.3
@@ -196,12 +196,12 @@
 
     def _record_seen(self, now: float, seen: RecordSeen) -> list[t.Any]:
         self._assignment.read_ended()
-        return self._learn(now, seen) + self._assignment.again()
+        return self._learn(now, seen) + self._assignment.repeat_unknown()
 
     def _learn(self, now: float, seen: RecordSeen) -> list[t.Any]:
         if seen.version < self._assignment.view.version:
             return []
-        write = self._assignment.learn(seen)
+        write = self._assignment.update(seen)
         self._heartbeats.set_members(now, seen.record)
         out = self._drop_lost() + (self._won(write) if write else [])
         return out + self._authorities(now) + self._watch(now)
@@ -327,8 +327,8 @@
         uncertain = old is not None and not self._is_known(old, self.record)
         record = self.record.with_owner(shard, self.process, uncertain)
         taken = self._taken(shard, record.shards[shard].epoch)
-        victim = self._assignment.last_owner_if_free(shard) or ""
-        return self._assignment.send(record, (taken,), victim)
+        previous_owner = self._assignment.last_owner_if_free(shard) or ""
+        return self._assignment.send(record, (taken,), previous_owner)
 
     def _shard_settled(self, now: float, message: ShardSettled) -> list[t.Any]:
         owned = self._owned.get(message.shard)
@@ -393,7 +393,7 @@
         usable = live - self.membership.avoided(now)
         shard = min(self._owned)
         successor = acquisition.least_loaded(self.record, usable, shard)
-        held = acquisition.counts(self.record, live)
+        held = acquisition.shard_counts(self.record, live)
         if not successor or held[successor] > len(self._owned) - 2:
             return []
         return self._give_up({shard: successor})
@@ -427,9 +427,9 @@
             return []
         out = self._hear(now, message)
         write = self._assignment.write
-        victim = write.victim if write else ""
+        previous_owner = write.previous_owner if write else ""
         view = self._assignment.view
-        return [*out, self._heartbeats.reply(now, message, view, victim)]
+        return [*out, self._heartbeats.reply(now, message, view, previous_owner)]
 
     def _heartbeat_reply(self, now: float, message: HeartbeatReply) -> list[t.Any]:
         if message.to != self.process:
@@ -445,7 +445,7 @@
         return self._watch(now)
 
     def _proven_dead(self, now: float, message: ProvenDead) -> list[t.Any]:
-        self.promises.exclude(message.process)
+        self.promises.mark_dead(message.process)
         self.membership.missed(now, message.process)
         return self._authorities(now)
 
--- a/src/poplaryard/ownership_messages.py
+++ b/src/poplaryard/ownership_messages.py
@@ -1,10 +1,10 @@
 """Messages of `ownership` and `membership`, from and to the tasks that do the I/O.
 
-Times named `sent_at` are readings of this process's own monotonic clock taken *before*
-the call was sent; authority is counted from them. A process id is
-``<name>#<incarnation>`` and is never used again after a restart.
+Times named `sent_at` are readings of the local monotonic clock taken *before* the call
+was sent; authority is counted from them. A process id is ``<name>#<incarnation>`` and
+is never reused after a restart.
 
-How the tasks carry them out, for the data centre ``<dc>``:
+The tasks carry out the commands for the data centre ``<dc>`` as follows:
 
 ====================  ==============================================================
 `GrantLease`          ``grant(ttl_s)``, then ``put_if("dc/<dc>/member/<process>",
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """A new lease holds the member key; `sent_at` is the time before the grant."""
+    """The member key is bound to a new lease, requested at `sent_at`."""
 
     lease: str
     sent_at: float
@@ -79,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseFailed:
-    """A grant (`lease` empty) or a renewal failed.
+    """A grant (`lease` is empty) or a renewal of a lease failed.
 
     Attributes
     ----------
     lapsed : bool
-        Whether the store said that the lease has ended; False if it did not answer.
+        Whether the store replied that the lease has ended; False if it did not answer.
     """
 
     lease: str = ""
@@ -101,7 +101,8 @@
         Store version of the record; 0 if it does not exist.
     live : frozenset of str
         Leases in the values of the member keys. They must be read after the record, or
-        in the same scan: a lease of the record that is missing here has ended for ever.
+        in the same scan: a lease of the record that is missing here counts as ended for
+        good.
     """
 
     record: Record
@@ -118,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordConflict:
-    """The last `WriteRecord` found another version; nothing was written."""
+    """The last `WriteRecord` found another version and wrote nothing."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -133,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sign of life to a peer, and request for its promise.
+    """Heartbeat to a peer; from an owner of shards, also a request for a promise.
 
     Attributes
     ----------
@@ -146,11 +147,11 @@
     config_number : int
         Number of the last ticket in force at the sender.
     record : RecordSeen or None
-        The record, if the receiver was last heard with a lower serial number.
+        The record as the sender has seen it, if the receiver may not know it yet.
     suspects : tuple of str
-        Processes that the sender suspects.
+        Processes that the sender suspects to have failed.
     refuted : int
-        Number of suspicions that the sender has refuted.
+        Number of suspicions of itself that the sender has refuted.
     """
 
     sender: str
@@ -171,9 +172,9 @@
     Attributes
     ----------
     sent_at : float
-        Copied from the heartbeat.
+        Copied from the heartbeat; a time on the clock of its sender.
     promised : bool
-        Whether `sender` will not take over shards of `to` for 4 s.
+        Whether `sender` promises not to take over shards of `to` for 4 s.
     """
 
     sender: str
@@ -198,8 +199,8 @@
 class ProvenDead:
     """A peer refused the connection at its address, or sent a leave message.
 
-    A process listens before it joins, and no longer acquires shards before it stops
-    listening; otherwise a refused connection would not prove that it takes no shards.
+    This proves that it takes no shards: a process listens before it joins, and stops
+    acquiring shards before it stops listening.
     """
 
     process: str
@@ -207,12 +208,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The process is to stop: hand over all shards, then end the lease."""
+    """Request that this process hands over all shards and then ends its lease."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShardsConfigured:
-    """Names of the data centre's shards and the ticket number that set them."""
+    """Names of the data centre's shards, and the number of the ticket that set them."""
 
     shards: tuple[str, ...]
     config_number: int = 0
@@ -228,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLease:
-    """Command: get a lease and bind the member key to it."""
+    """Command: obtain a lease of `ttl_s` seconds and bind the member key to it."""
 
     ttl_s: float
 
@@ -242,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RevokeLease:
-    """Command: end the lease; the last command of a process that leaves."""
+    """Command: revoke the lease; the last command of a process that leaves."""
 
     lease: str
 
@@ -278,21 +279,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardTaken:
-    """Notice: this process owns a shard; arguments for its `Takeover`.
+    """Notice: this process owns a shard. The fields are arguments for its `Takeover`.
 
     Attributes
     ----------
     previous : str
         Old owner; empty if there was none or it released the shard.
     known : bool
-        Whether all authority of the old owner ends within `wait_s`.
+        Whether the authority of all earlier owners ends within `wait_s`.
     wait_s : float
-        Time after which everything the old owner started has ended.
+        Time in seconds after which all that the old owner started has ended.
     first : bool
-        Whether the shard never had an owner.
+        Whether the shard never had an owner before.
     handed_over : bool
-        Whether the shard was left to this process. Only if the old owner also sends its
-        whole ledger, and its own take-over was complete, is `Takeover` told so.
+        Whether the shard was released to this process as its successor. `Takeover` gets
+        True only if the old owner also sends its whole ledger and had completed its own
+        take-over.
     """
 
     shard: str
@@ -306,12 +308,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ShardReleased:
-    """Notice: this process no longer owns a shard and must send nothing more for it.
+    """Notice: this process no longer owns a shard, and must send no commands for it.
 
     Attributes
     ----------
     successor : str
-        Member that takes the shard, if it was handed over; empty if it was lost.
+        Member that is to acquire a shard that was handed over; empty if it was lost.
     """
 
     shard: str
--- a/src/poplaryard/record.py
+++ b/src/poplaryard/record.py
@@ -13,9 +13,12 @@
     Attributes
     ----------
     process : str
-        Process id with the incarnation number drawn at start, ``<name>#<number>``.
+        Process id ``<name>#<number>``; the incarnation number is drawn at the start of
+        the process.
+    address : str
+        Address at which other members reach the process.
     lease : str
-        Store lease that the process held when it last wrote itself into the record.
+        Store lease that the process held when it last added itself to the record.
     joined : int
         Serial number of the record in which the process first appeared.
     """
@@ -34,12 +37,14 @@
     ----------
     owner : str
         Process id; empty if the shard was released.
+    epoch : int
+        Epoch of the last acquisition of the shard.
     successor : str
-        Member that may take a released shard at once; empty for any.
+        Member that may acquire a released shard without a wait; empty if none is named.
     uncertain : bool
-        Whether an earlier owner may still have authority, because it did not know the
-        process that took the shard from it. It holds for later owners as well, until
-        one of them has claimed every worker.
+        Whether an earlier owner may still have authority. This is so if it did not know
+        the process that took the shard as a member, and so did not need its promise.
+        The flag passes to later owners until one of them has claimed every worker.
     """
 
     owner: str
@@ -50,15 +55,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Value of ``dc/<dc>/assignment``.
+    """Value of the store key ``dc/<dc>/assignment``.
 
     Attributes
     ----------
     serial : int
-        Raised by one with every write.
+        Serial number, raised by one with each write.
     epoch : int
-        Highest epoch of any shard. Shards share one counter because a VM may move from
-        one shard to another, and its worker compares the epochs.
+        Highest epoch of any shard. All shards share one counter, because a VM may move
+        from one shard to another and its worker compares their epochs.
+    members : mapping
+        Members by process id.
+    shards : mapping
+        Owners by shard name.
     """
 
     serial: int = 0
@@ -75,7 +84,7 @@
         return replace(self, serial=self.serial + 1, members=members)
 
     def without_members(self, gone: t.Iterable[str]) -> "Record":
-        """Return the same record without the named members; the serial stays."""
+        """Return a record without the members `gone`, with the same serial number."""
         left = set(gone)
         members = {k: v for k, v in self.members.items() if k not in left}
         return replace(self, members=members)
@@ -88,7 +97,13 @@
         return replace(self, serial=self.serial + 1, epoch=epoch, shards=shards)
 
     def with_released(self, shards: t.Mapping[str, str]) -> "Record":
-        """Return the next record, with each shard left to its named successor."""
+        """Return the next record, in which the shards are released.
+
+        Parameters
+        ----------
+        shards : mapping
+            Successor of each shard to release; empty for none.
+        """
         changed = {
             shard: replace(self.shards[shard], owner="", successor=successor)
             for shard, successor in shards.items()
@@ -96,7 +111,7 @@
         return replace(self, serial=self.serial + 1, shards={**self.shards, **changed})
 
     def with_settled(self, shards: t.Iterable[str]) -> "Record":
-        """Return the next record, in which the shards' owners are certain."""
+        """Return the next record, in which the shards are not uncertain any more."""
         changed = {s: replace(self.shards[s], uncertain=False) for s in shards}
         return replace(self, serial=self.serial + 1, shards={**self.shards, **changed})
 
