--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -71,7 +71,7 @@
         self._estimator = estimator
         self._reserved: dict[bool, Reservation] = {}
 
-    def widest(self, need: Resources, group: str) -> int:
+    def max_parallel(self, need: Resources, group: str) -> int:
         """Return how many tasks the shard's VMs could run at once when empty."""
         shapes = self._state.fleet.shapes(group)
         return sum(count_fits(need, shape) * count for shape, count in shapes.items())
@@ -84,7 +84,7 @@
         for task in job.pending:
             vm = fleet.index.tightest(need, group)
             if vm is None:
-                self._state.unhold_all(job)
+                self._state.release_holds(job)
                 return False
             self._state.hold(job, task, vm, need)
         return True
@@ -101,7 +101,7 @@
             return False
         starts_at = self._hold_soonest(now, job, need)
         if starts_at is None:
-            self._state.unhold_all(job)
+            self._state.release_holds(job)
             return False
         self._reserved[key] = Reservation(job, need, starts_at, now)
         return True
@@ -124,7 +124,7 @@
         for reservation in self._reserved.values():
             job = reservation.job
             for task in [task for task, name in job.held.items() if name == vm.name]:
-                self._state.unhold(job, task)
+                self._state.release_hold(job, task)
                 reservation.planned_at = float("-inf")
 
     def backfill(
@@ -171,7 +171,7 @@
             vm = fleet.index.tightest(need, job.work.group)
             if vm is None:
                 return
-            self._state.unhold(job, task)
+            self._state.release_hold(job, task)
             self._state.hold(job, task, vm, need)
 
     def _replan(self, now: float, reservation: Reservation) -> None:
@@ -184,7 +184,7 @@
             return
         for task, name in list(job.held.items()):
             if not _has_room(vms[name]):
-                self._state.unhold(job, task)
+                self._state.release_hold(job, task)
         starts_at = self._hold_soonest(now, job, reservation.need)
         reservation.starts_at = now if starts_at is None else starts_at
         reservation.planned_at = now
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -113,8 +113,8 @@
         job = self._state.jobs.get(report.request_id)
         if job is not None:
             job.attempts.add(attempt.attempt_id)
-            self._state.withdraw(job, report.task)
-            self._state.attempts.describe(attempt, job.work)
+            self._state.drop_pending(job, report.task)
+            self._state.attempts.set_work(attempt, job.work)
 
     def attach_running(self, job: Job) -> None:
         """Attach running attempts, which an earlier owner started, to their job."""
@@ -122,7 +122,7 @@
             attempt = self._state.attempts.get(attempt_id)
             if attempt is not None:
                 job.attempts.add(attempt_id)
-                self._state.attempts.describe(attempt, job.work)
+                self._state.attempts.set_work(attempt, job.work)
 
     def ended_untracked(self, now: float, report: AttemptReport) -> None:
         """Process the end of an attempt that this process does not track as running.
@@ -136,7 +136,7 @@
         if job is None:
             return
         if report.task not in self.ledger.open_tasks(job.request_id):
-            self._state.withdraw(job, report.task)
+            self._state.drop_pending(job, report.task)
             job.ran = True
         if answer is not None:
             self._send(now, job, answer)
@@ -160,7 +160,9 @@
         already limits such retries.
         """
         job = self._state.end(now, attempt)
-        self._state.note("lost", attempt, "The worker is gone and its leases ended.")
+        self._state.audit_attempt(
+            "lost", attempt, "The worker is gone and its leases ended."
+        )
         answer = self.ledger.lost(now, attempt.attempt_id)
         if job is None:
             return
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -8,7 +8,7 @@
 
 __all__ = [
     "AdviceCost",
-    "Ended",
+    "RunOutcome",
     "EndedRun",
     "HoldReport",
     "JobSpec",
@@ -187,7 +187,7 @@
     slack_s: float = 1.0
     advice: AdviceCost | None = None
 
-    def chain_s(self) -> float:
+    def critical_path_s(self) -> float:
         """Return the estimated run time of the longest chain of steps in seconds."""
         ends: list[float] = []
         for step in self.steps:
@@ -197,7 +197,7 @@
 
     def objective_s(self) -> float:
         """Return the time within which the job should be done, in seconds."""
-        return self.stretch * self.chain_s() + self.slack_s
+        return self.stretch * self.critical_path_s() + self.slack_s
 
 
 @dataclass(slots=True)
@@ -274,7 +274,7 @@
     tasks: tuple[str, ...] | None = None
 
 
-class Ended(enum.StrEnum):
+class RunOutcome(enum.StrEnum):
     """How a run ended."""
 
     DONE = "done"
@@ -301,7 +301,7 @@
     seq: int
     task: str
     run: int
-    how: Ended
+    outcome: RunOutcome
     checkpoint: str
 
 
