--- a/src/poplaryard/acquisition.py
+++ b/src/poplaryard/acquisition.py
@@ -67,7 +67,7 @@
         name = entry.owner or entry.successor
         if name in owned:
             owned[name] += 1
-    return members
+    return owned
 
 
 def least_loaded(record: Record, members: t.Iterable[str], shard: str) -> str:
