--- a/src/poplaryard/heartbeats.py
+++ b/src/poplaryard/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to members: signs of life, promises, and news of the record."""
+"""Heartbeats between members, with promises and updates of the record."""
 
 import random
 
@@ -16,12 +16,16 @@
 
 
 class Heartbeats:
-    """Writes and reads heartbeats.
+    """Builds outgoing heartbeats and replies, and processes incoming ones.
 
     Attributes
     ----------
+    promises : Promises
+        Promises given and received with heartbeats.
+    membership : Membership
+        Members and suspicions.
     config_number : int
-        Number of the last ticket in force here.
+        Number of the last ticket in force in this process.
     """
 
     def __init__(self, process: str, rng: random.Random):
@@ -29,20 +33,24 @@
         self.membership = Membership(process, rng)
         self.config_number = 0
         self._process = process
+        # Highest serial number of the record that each peer has sent.
         self._heard_serial: dict[str, int] = {}
-        # Live leases last passed on to each peer; a lease ends without a new serial.
-        self._told: dict[str, frozenset[str]] = {}
-        # Highest serial number that each owner named when it was given a promise.
+        # Live leases last sent to each peer. They are compared separately, because the
+        # end of a lease does not change the serial number of the record.
+        self._sent_leases: dict[str, frozenset[str]] = {}
+        # Highest serial number of the record in each owner's requests for a promise.
         self._promised_serial: dict[str, int] = {}
 
     def set_members(self, now: float, record: Record) -> None:
-        """Take the members of a record."""
+        """Set the members to those of a record, and drop the state of others."""
         self.membership.set_members(record.members)
         self.promises.forget(now, record.members)
-        self._told = {k: v for k, v in self._told.items() if k in record.members}
-        for known in (self._heard_serial, self._promised_serial):
-            for name in known.keys() - record.members.keys():
-                del known[name]
+        self._sent_leases = {
+            k: v for k, v in self._sent_leases.items() if k in record.members
+        }
+        for serials in (self._heard_serial, self._promised_serial):
+            for name in serials.keys() - record.members.keys():
+                del serials[name]
 
     def due(
         self, now: float, view: RecordSeen, *, owner: bool, everyone: bool
@@ -52,17 +60,21 @@
         Parameters
         ----------
         owner : bool
-            Whether this process owns shards and needs promises.
+            Whether this process owns shards and requests promises.
         everyone : bool
-            Whether it needs them of all members.
+            Whether it needs a promise of every member.
         """
-        targets = self.membership.targets(now, everyone)
-        return [self._send(now, name, view, owner) for name in targets]
+        peers = self.membership.due_peers(now, everyone)
+        return [self._heartbeat_to(now, name, view, owner) for name in peers]
 
     def reply(
         self, now: float, message: Heartbeat, view: RecordSeen, previous_owner: str
     ) -> HeartbeatReply:
-        """Answer a heartbeat, with a promise unless its sender is `previous_owner`."""
+        """Return the reply to a heartbeat.
+
+        An owner gets a promise unless it is `previous_owner`, from which a write in
+        flight takes a shard.
+        """
         promised = message.owner and message.sender != previous_owner
         if promised:
             self._promise(now, message)
@@ -73,25 +85,26 @@
             promised=promised,
             record_serial=view.record.serial,
             config_number=self.config_number,
-            record=self._news_for(message.sender, view),
+            record=self._record_for(message.sender, view),
             suspects=self.membership.suspects(),
             refuted=self.membership.refuted,
         )
 
-    def hear(self, now: float, message: Heartbeat | HeartbeatReply) -> None:
-        """Take what a message says of its sender."""
+    def receive(self, now: float, message: Heartbeat | HeartbeatReply) -> None:
+        """Update promises, suspicions and serial numbers from a received message."""
         if isinstance(message, HeartbeatReply) and message.promised:
             self.promises.receive(message.sent_at, message.sender)
         self.membership.heard(message.sender, message.refuted)
-        self.membership.rumours(now, message.suspects)
+        self.membership.add_suspicions(now, message.suspects)
         seen = self._heard_serial.get(message.sender, -1)
         self._heard_serial[message.sender] = max(seen, message.record_serial)
 
     def was_known_to(self, owner: str, record: Record) -> bool:
-        """Return whether an old owner needed this member's promise.
+        """Return whether an old owner knew this process as a member.
 
-        It did if it asked for one after it had seen this member in the record, or if it
-        joined later itself.
+        If so, its authority depended on a promise of this process. It knew this process
+        if it joined later itself, or if it requested a promise after it had seen a
+        record with this process.
         """
         me, old = record.members.get(self._process), record.members.get(owner)
         if me is None:
@@ -105,7 +118,7 @@
         seen = self._promised_serial.get(owner, -1)
         self._promised_serial[owner] = max(seen, message.record_serial)
 
-    def _send(
+    def _heartbeat_to(
         self, now: float, name: str, view: RecordSeen, owner: bool
     ) -> SendHeartbeat:
         heartbeat = Heartbeat(
@@ -115,15 +128,17 @@
             owner=owner,
             record_serial=view.record.serial,
             config_number=self.config_number,
-            record=self._news_for(name, view),
+            record=self._record_for(name, view),
             suspects=self.membership.suspects(),
             refuted=self.membership.refuted,
         )
         return SendHeartbeat(name, view.record.members[name].address, heartbeat)
 
-    def _news_for(self, name: str, view: RecordSeen) -> RecordSeen | None:
+    def _record_for(self, name: str, view: RecordSeen) -> RecordSeen | None:
         behind = self._heard_serial.get(name, -1) < view.record.serial
-        if view.version <= 0 or not (behind or self._told.get(name) != view.live):
+        if view.version <= 0 or not (
+            behind or self._sent_leases.get(name) != view.live
+        ):
             return None
-        self._told[name] = view.live
+        self._sent_leases[name] = view.live
         return view
--- a/src/poplaryard/membership.py
+++ b/src/poplaryard/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats among the entry processes of a data centre, and suspicion."""
+"""Failure detection among the entry processes of a data centre by heartbeats."""
 
 import random
 import typing as t
@@ -6,23 +6,27 @@
 
 __all__ = ["HEARTBEAT_S", "FANOUT", "Membership"]
 
+# Interval between heartbeats to a peer.
 HEARTBEAT_S = 1.0
 
-# Each member sends to this many peers at rest, so that its cost does not grow with the
-# number of members.
+# Number of peers that each member normally sends heartbeats to. It is fixed, so that
+# the cost does not grow with the number of members.
 FANOUT = 8
 
-# Misses in a row after which a peer is suspected.
+# Missed heartbeats in a row after which a peer is suspected.
 MISSES = 3
 
-# A peer suspected this often within the half-life is avoided until the count decays, so
-# that a flapping peer does not make routes change each second.
+# Each suspicion raises the penalty of a peer by 1, and the penalty decays with the
+# half-life. A peer with this penalty is avoided, so that a peer that alternates between
+# failing and answering does not make routes change each second.
 FLAPS = 3.0
 FLAP_HALF_LIFE_S = 30.0
 
 
 @dataclass(slots=True)
 class _Peer:
+    """State of one other member."""
+
     misses: int = 0
     suspected: bool = False
     refuted: int = 0
@@ -31,10 +35,10 @@
 
 
 class Membership:
-    """Which members to send heartbeats to and which of them are suspected.
+    """Selects the peers to send heartbeats to, and the peers that are suspected.
 
-    Suspicion is advice for routing and for the choice of watchers. It never takes part
-    in a decision about ownership.
+    Suspicion is only a hint for routing and for the choice of the members that watch
+    the record. Decisions about ownership never depend on it.
     """
 
     def __init__(self, process: str, rng: random.Random):
@@ -50,11 +54,11 @@
         return self._refuted
 
     def set_members(self, members: t.Iterable[str]) -> None:
-        """Take the members of the record."""
+        """Set the members to those of the record."""
         names = [name for name in members if name != self._process]
         self._peers = {name: self._peers.get(name, _Peer()) for name in names}
 
-    def targets(self, now: float, everyone: bool) -> list[str]:
+    def due_peers(self, now: float, everyone: bool) -> list[str]:
         """Return the peers that are due a heartbeat now.
 
         Parameters
@@ -73,7 +77,10 @@
         return (ring[at + 1 :] + ring[:at])[:FANOUT]
 
     def heard(self, process: str, refuted: int) -> None:
-        """Note a message from a peer, which refutes a suspicion."""
+        """Record a message from a peer, which ends a suspicion of it.
+
+        `refuted` is the number of suspicions that the peer has refuted itself.
+        """
         peer = self._peers.get(process)
         if peer is None:
             return
@@ -82,7 +89,7 @@
         peer.refuted = max(peer.refuted, refuted)
 
     def missed(self, now: float, process: str) -> None:
-        """Note that a peer did not answer a heartbeat."""
+        """Record that a peer did not answer a heartbeat."""
         peer = self._peers.get(process)
         if peer is None:
             return
@@ -90,31 +97,35 @@
         if peer.misses >= MISSES and not peer.suspected:
             self._suspect(now, peer)
 
-    def rumours(self, now: float, suspects: t.Iterable[str]) -> None:
-        """Take the suspicions of a peer; one about this process is refuted."""
+    def add_suspicions(self, now: float, suspects: t.Iterable[str]) -> None:
+        """Adopt the suspicions of a peer; one of this process is counted as refuted.
+
+        Suspicions of peers that get heartbeats from this process are ignored, because
+        it observes them itself.
+        """
         for name in suspects:
             if name == self._process:
                 self._refuted += 1
-            elif name in self._peers and name not in self._direct():
+            elif name in self._peers and name not in self._monitored():
                 peer = self._peers[name]
                 if not peer.suspected:
                     self._suspect(now, peer)
 
     def suspects(self) -> tuple[str, ...]:
         """Return the suspected peers, sorted."""
-        found = self._peers.items()
-        return tuple(sorted(name for name, peer in found if peer.suspected))
+        peers = self._peers.items()
+        return tuple(sorted(name for name, peer in peers if peer.suspected))
 
     def avoided(self, now: float) -> set[str]:
-        """Return the peers to avoid: suspected ones and ones that flap."""
-        found = self._peers.items()
+        """Return the peers to avoid: suspected, or suspected too often of late."""
+        peers = self._peers.items()
         return {
             name
-            for name, peer in found
+            for name, peer in peers
             if peer.suspected or _decayed(peer, now) >= FLAPS
         }
 
-    def _direct(self) -> set[str]:
+    def _monitored(self) -> set[str]:
         ring = sorted([*self._peers, self._process])
         at = ring.index(self._process)
         return set((ring[at + 1 :] + ring[:at])[:FANOUT])
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -1,4 +1,4 @@
-"""Store lease, epochs, promises, and acquisition and release of shards."""
+"""Shard ownership: store lease, promises, epochs, acquisition and release of shards."""
 
 import random
 import typing as t
@@ -47,34 +47,43 @@
 # Time between two acquisitions of one process: at most 2 shards per second.
 ACQUIRE_S = 0.5
 
-# Longest authority given at a time, and renewed with each tick: as long as that of a
-# store lease, so that a worker's view of it never depends on the source.
+# Longest authority announced at a time; ticks renew it. It is as long as the authority
+# by a store lease, so that workers see no difference between a lease and promises.
 AUTHORITY_S = drift_safe(LEASE_TTL_S)
 
-# Longest wait for a new lease of a process whose shards are not fully served.
+# Value of `SPREAD_S` for a process that must not wait: it is leaving, releases shards
+# or has only limited authority.
 SHORT_SPREAD_S = 0.3
 
-# Time between two shards handed over to even out the number that members own.
+# Interval between handovers that even out the number of shards that members own.
 BALANCE_S = 5.0
 
-# Time without a confirmed renewal after which promises of all members are sought.
+# Time without a confirmed lease renewal after which an owner requests promises from all
+# members.
 AT_RISK_S = 2.5
 
 
 @dataclass(slots=True)
 class _Owned:
+    """Shard that this process owns."""
+
     epoch: int
+    # Authority last announced.
     announced: Authority | None = None
-    # No earlier owner has authority over the shard any more.
+    # Whether every worker is claimed, so that no earlier owner has authority any more.
     settled: bool = False
 
 
 class Ownership:
-    """Shards that this process owns in its data centre, and until when.
+    """Decides which shards of its data centre this process owns, and until when.
 
     It holds at most one store lease and has at most one write of the record in flight.
-    The messages are described in `ownership_messages`. Send a `Tick` at least every
-    100 ms, and after any pause before other messages are handled.
+    The messages are described in `ownership_messages`. A `Tick` is needed at least
+    every 100 ms, and after any pause before other messages are handled.
+
+    Authority over all kinds of work comes from the store lease, or from promises of all
+    other members. Without both, it is limited to work that is neither exclusive nor
+    non-idempotent.
 
     Parameters
     ----------
@@ -122,7 +131,7 @@
         return entry.owner if entry else ""
 
     def handle(self, now: float, message: t.Any) -> list[t.Any]:
-        """Take one message and return commands and notices."""
+        """Process one message; return the resulting commands and notices."""
         handler = _HANDLERS[type(message)]
         return handler(self, now, message)
 
@@ -147,21 +156,24 @@
         return self._authorities(now)
 
     def _lease_failed(self, now: float, message: LeaseFailed) -> list[t.Any]:
-        # Shards that wait for their release, or that are served in part, cannot wait.
-        waits = self._leaving or self._releasing or self.state == "limited"
-        self._lease.failed(now, message, SHORT_SPREAD_S if waits else SPREAD_S)
+        # Shards to be released, or with limited authority, should not wait for a lease.
+        urgent = self._leaving or self._releasing or self.state == "limited"
+        self._lease.failed(now, message, SHORT_SPREAD_S if urgent else SPREAD_S)
         return self._authorities(now)
 
     # Authority
 
     def _full_until(self) -> float:
-        """End of the authority for all kinds of work."""
+        """Return the end of the authority over all kinds of work."""
         others = (name for name in self.record.members if name != self.process)
         promised = self.promises.valid_until(others)
         return max(self._leased_until(), promised)
 
     def _leased_until(self) -> float:
-        """End of the authority by the store lease, once the record names the lease."""
+        """Return the end of the authority by the store lease.
+
+        It is minus infinity while the record does not name the lease for this process.
+        """
         me = self.record.members.get(self.process)
         if me is None or me.lease != self._lease.name:
             return float("-inf")
@@ -169,19 +181,19 @@
 
     def _authorities(self, now: float) -> list[t.Any]:
         if not self._owned:
-            self._note_state(now, float("-inf"))
+            self._update_state(now, float("-inf"))
             return []
-        full = self._full_until()
-        self._note_state(now, full)
+        full_until = self._full_until()
+        self._update_state(now, full_until)
         out: list[t.Any] = []
         for shard, owned in self._owned.items():
-            notice = _authority(now, shard, owned, full)
+            notice = _authority(now, shard, owned, full_until)
             if notice is not None:
                 owned.announced = notice
                 out.append(notice)
         return out
 
-    def _note_state(self, now: float, full: float) -> None:
+    def _update_state(self, now: float, full_until: float) -> None:
         if self.state == "left":
             return
         if self._lease.until > now and (not self._owned or self._leased_until() > now):
@@ -189,25 +201,25 @@
         elif not self._owned:
             event = "lapse"
         else:
-            event = "promise" if full > now else "limit"
+            event = "promise" if full_until > now else "limit"
         self.state = _CHART.step(self.state, event)
 
     # Record
 
     def _record_seen(self, now: float, seen: RecordSeen) -> list[t.Any]:
         self._assignment.read_ended()
-        return self._learn(now, seen) + self._assignment.repeat_unknown()
+        return self._update_view(now, seen) + self._assignment.repeat_unknown()
 
-    def _learn(self, now: float, seen: RecordSeen) -> list[t.Any]:
+    def _update_view(self, now: float, seen: RecordSeen) -> list[t.Any]:
         if seen.version < self._assignment.view.version:
             return []
         write = self._assignment.update(seen)
         self._heartbeats.set_members(now, seen.record)
-        out = self._drop_lost() + (self._won(write) if write else [])
+        out = self._drop_lost() + (self._add_acquired(write) if write else [])
         return out + self._authorities(now) + self._watch(now)
 
-    def _won(self, write: Write) -> list[t.Any]:
-        """Take the shards that a resolved write has won."""
+    def _add_acquired(self, write: Write) -> list[t.Any]:
+        """Add the shards that a resolved write has acquired; return the notices."""
         mine = self.record.owned_by(self.process)
         out: list[t.Any] = []
         for taken in write.takes:
@@ -223,21 +235,25 @@
         lost = [k for k, item in self._owned.items() if mine.get(k) != item.epoch]
         return [ShardReleased(shard, self._owned.pop(shard).epoch) for shard in lost]
 
-    def _taken(self, shard: str, epoch: int) -> ShardTaken:
-        """Return the notice for a take-over, which the record before it decides."""
+    def _taken_notice(self, shard: str, epoch: int) -> ShardTaken:
+        """Return the notice for the acquisition of a shard.
+
+        It depends on the entry of the shard in the record before the acquisition.
+        """
         old = self.record.shards.get(shard)
         if old is None:
             return ShardTaken(shard, epoch, "", True, 0.0, first=True)
         known = self._is_known(old, self.record)
         wait = lease_wait_s()
         if not old.owner or self.promises.is_dead(old.owner):
-            # A start sent just before the end is valid for up to a lease.
+            # No lease has ended here. A start that the old owner sent just before its
+            # end stays valid for up to the lease time.
             wait += LEASE_TTL_S
-        left = not old.owner and old.successor == self.process
-        return ShardTaken(shard, epoch, old.owner, known, wait, handed_over=left)
+        to_me = not old.owner and old.successor == self.process
+        return ShardTaken(shard, epoch, old.owner, known, wait, handed_over=to_me)
 
     def _is_known(self, old: ShardOwner, before: Record) -> bool:
-        """Return whether all authority over a shard has ended or soon ends."""
+        """Return whether all earlier authority over a shard has ended or soon ends."""
         if old.uncertain:
             return False
         if not old.owner or self.promises.is_dead(old.owner):
@@ -246,7 +262,7 @@
 
     def _record_written(self, now: float, message: RecordWritten) -> list[t.Any]:
         seen = self._assignment.written(message, self._lease.name)
-        return self._learn(now, seen) if seen else []
+        return self._update_view(now, seen) if seen else []
 
     def _record_conflict(self, now: float, _: RecordConflict) -> list[t.Any]:
         return self._assignment.conflicted(now)
@@ -258,7 +274,10 @@
         return self._assignment.unknown(now)
 
     def _watch(self, now: float) -> list[t.Any]:
-        """Watch the record if this is one of the two lowest live members."""
+        """Start or stop watching the record.
+
+        The first two live members by name watch it; the others learn it from them.
+        """
         live = self._assignment.live_members()
         avoided = self.membership.avoided(now)
         wanted = self.process in [name for name in live if name not in avoided][:2]
@@ -291,7 +310,7 @@
         return self._assignment.send(record)
 
     def _acquire(self, now: float) -> list[t.Any]:
-        self._note_free(now)
+        self._update_free(now)
         if now < self._acquire_at:
             return []
         live = self._assignment.live_members()
@@ -307,7 +326,7 @@
             return wait + JOINER_WAIT_S
         return wait
 
-    def _note_free(self, now: float) -> None:
+    def _update_free(self, now: float) -> None:
         free = [
             s
             for s in self._shards
@@ -326,7 +345,7 @@
         old = self.record.shards.get(shard)
         uncertain = old is not None and not self._is_known(old, self.record)
         record = self.record.with_owner(shard, self.process, uncertain)
-        taken = self._taken(shard, record.shards[shard].epoch)
+        taken = self._taken_notice(shard, record.shards[shard].epoch)
         previous_owner = self._assignment.last_owner_if_free(shard) or ""
         return self._assignment.send(record, (taken,), previous_owner)
 
@@ -337,7 +356,7 @@
         return []
 
     def _settle(self) -> list[t.Any]:
-        """Write that no earlier owner has authority over shards any more."""
+        """Clear the `uncertain` flag of shards in the record, if one is settled now."""
         done = [
             shard
             for shard, owned in self._owned.items()
@@ -358,10 +377,16 @@
         live = self._assignment.live_members()
         others = [name for name in live if name != self.process]
         chosen = acquisition.successors(self.record, others, mine)
-        return self._give_up(chosen)
+        return self._release(chosen)
+
+    def _release(self, chosen: dict[str, str]) -> list[t.Any]:
+        """Stop serving shards, and then write that they are released.
 
-    def _give_up(self, chosen: dict[str, str]) -> list[t.Any]:
-        """Stop serving shards, and only then write that they are free."""
+        Parameters
+        ----------
+        chosen : dict
+            Successor of each shard; empty for none.
+        """
         out: list[t.Any] = []
         for shard, successor in chosen.items():
             self._releasing[shard] = successor
@@ -382,10 +407,13 @@
         }
         refused = {k: "" for k, v in mine.items() if self._refused.get(k) == v}
         pending = {**old, **refused, **self._releasing}
-        return self._give_up(pending) if pending else []
+        return self._release(pending) if pending else []
 
     def _balance(self, now: float) -> list[t.Any]:
-        """Hand one shard to the member with the fewest to even out the numbers."""
+        """Hand one shard to the member with the fewest, to even out the numbers.
+
+        That member must own at least two shards fewer than this process.
+        """
         if now < self._balance_at or len(self._owned) < 2 or self._free_since:
             return []
         self._balance_at = now + BALANCE_S * self._rng.uniform(0.8, 1.2)
@@ -396,7 +424,7 @@
         held = acquisition.shard_counts(self.record, live)
         if not successor or held[successor] > len(self._owned) - 2:
             return []
-        return self._give_up({shard: successor})
+        return self._release({shard: successor})
 
     def _epoch_refused(self, now: float, message: EpochRefused) -> list[t.Any]:
         owned = self._owned.get(message.shard)
@@ -425,7 +453,7 @@
     def _heartbeat(self, now: float, message: Heartbeat) -> list[t.Any]:
         if message.to != self.process:
             return []
-        out = self._hear(now, message)
+        out = self._process_info(now, message)
         write = self._assignment.write
         previous_owner = write.previous_owner if write else ""
         view = self._assignment.view
@@ -434,11 +462,13 @@
     def _heartbeat_reply(self, now: float, message: HeartbeatReply) -> list[t.Any]:
         if message.to != self.process:
             return []
-        return self._hear(now, message) + self._authorities(now)
+        return self._process_info(now, message) + self._authorities(now)
 
-    def _hear(self, now: float, message: Heartbeat | HeartbeatReply) -> list[t.Any]:
-        self._heartbeats.hear(now, message)
-        return self._learn(now, message.record) if message.record else []
+    def _process_info(
+        self, now: float, message: Heartbeat | HeartbeatReply
+    ) -> list[t.Any]:
+        self._heartbeats.receive(now, message)
+        return self._update_view(now, message.record) if message.record else []
 
     def _peer_missed(self, now: float, message: PeerMissed) -> list[t.Any]:
         self.membership.missed(now, message.process)
@@ -450,15 +480,17 @@
         return self._authorities(now)
 
 
-def _authority(now: float, shard: str, owned: _Owned, full: float) -> Authority | None:
-    """Return the notice that is due for a shard, or None if the last one holds."""
+def _authority(
+    now: float, shard: str, owned: _Owned, full_until: float
+) -> Authority | None:
+    """Return the authority to announce for a shard, or None if none is due."""
     last = owned.announced
-    if full > now:
-        until = min(full, now + AUTHORITY_S)
+    if full_until > now:
+        until = min(full_until, now + AUTHORITY_S)
         exclusive = True
     else:
         until, exclusive = now + AUTHORITY_S, False
-    # An unchanged authority without an end is announced once a second.
+    # While the end moves on with each tick, it is announced about once a second only.
     if last and last.exclusive == exclusive and 0.0 <= until - last.until < 1.0:
         return None
     owned.announced = Authority(shard, owned.epoch, until, exclusive)
--- a/src/poplaryard/takeover.py
+++ b/src/poplaryard/takeover.py
@@ -1,4 +1,4 @@
-"""Take-over of one shard: claims its workers and says what may be served meanwhile."""
+"""Take-over of one shard: claims of its workers, and what may be served meanwhile."""
 
 import typing as t
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochRefused:
-    """A worker has seen a higher epoch of the shard; this process is not its owner."""
+    """A worker has seen a higher epoch, so this process no longer owns the shard."""
 
     shard: str
     epoch: int
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class VmListRead:
-    """The VM list was read after the take-over, and its changes were handed in."""
+    """The VM list was read after the take-over began; its changes were passed on."""
 
 
 class Takeover:
     """Progress of a take-over, from the write that raised the epoch to the last claim.
 
-    Feed it `Tick`, `VmUpdate`, `VmGone`, `VmListRead` and `ClaimReply`; it returns
+    It processes `Tick`, `VmUpdate`, `VmGone`, `VmListRead` and `ClaimReply`. It returns
     `ClaimWorker` commands, and `EpochRefused` when a worker refuses the epoch.
 
     Parameters
     ----------
     now, wall : float
-        Time at which the write of the epoch was confirmed.
+        Monotonic and wall-clock time at which the write of the epoch was confirmed.
     workers : iterable of str
         Names of the shard's VMs.
     known : bool
@@ -48,18 +48,25 @@
     handed_over : bool
         Whether the old owner handed over its whole ledger.
     listed_since : float
-        Wall-clock time since which this process has known the shard's VMs without a
-        gap and none has left. A VM that left before may have run ids issued before.
+        Wall-clock time since which this process has known the VMs of the shard without
+        a gap, and none of them has left; 0 if there is no such limit. A VM that left
+        earlier may have run ids issued before that time.
     list_read : bool
-        Whether `workers` was read after the take-over. If not, the claims are complete
-        only after `VmListRead`: the old owner may use a VM that an older list lacks.
+        Whether `workers` was read after the take-over began. If not, the claims are
+        complete only after `VmListRead`, because the old owner may use a VM that is
+        missing in an older list.
+    skew_s : float
+        Largest difference between two wall clocks in seconds.
+    wait_s : float, optional
+        Time in seconds after `now` at which the tasks of the old owner have ended; the
+        default is `lease_wait_s()`.
 
     Attributes
     ----------
     claims_new : bool
-        Whether VMs that were not listed at the take-over may be claimed; only while
-        this process holds its store lease. A successor reads the list after that lease
-        has ended, and so knows every VM that this process has claimed.
+        Whether VMs that were not listed at the take-over may be claimed. True only
+        while this process holds its store lease: a successor reads the list after that
+        lease has ended, and so knows every VM that this process has claimed.
     """
 
     state: str
@@ -85,7 +92,7 @@
         self.claims_new = True
         self._known = known
         self._list_read = list_read
-        self._new: set[str] = set()
+        self._unlisted: set[str] = set()
         self._first = first
         self._handed_over = handed_over
         self._skew_s = skew_s
@@ -93,23 +100,24 @@
         self._wall_offset = wall - now
         self._missing: dict[str, float] = dict.fromkeys(workers, 0.0)
         self._claimed: set[str] = set()
-        # Ids issued before this wall-clock time may have run where no claim can tell.
-        self._fresh_from = listed_since + skew_s if listed_since else 0.0
-        self._taken_wall = wall
+        # Ids issued before this wall-clock time may have run on VMs that have left and
+        # cannot be claimed any more.
+        self._unknown_before = listed_since + skew_s if listed_since else 0.0
+        self._begun_wall = wall
         self.state = _CHART.initial
         self._step(now)
 
     @property
     def missing(self) -> frozenset[str]:
-        """Workers that have not been claimed yet; they count as full."""
+        """Workers that have not been claimed yet; nothing is placed on them."""
         return frozenset(self._missing)
 
     def handle(self, now: float, message: t.Any) -> list[t.Any]:
-        """Take one message and return commands."""
+        """Process one message; return the resulting commands."""
         if isinstance(message, Tick):
-            out = self._claims(now)
+            out = self._due_claims(now)
         elif isinstance(message, ClaimReply):
-            out = self._claim_reply(message)
+            out = self._process_reply(message)
         elif isinstance(message, VmListRead):
             self._list_read, out = True, []
         else:
@@ -126,33 +134,39 @@
         return self.state in ("lapsed", "complete")
 
     def may_run_unreported(self, issued_at: float) -> bool:
-        """Return whether a non-idempotent id that no report names has never run.
+        """Return whether a non-idempotent id that no report names may be run.
 
-        If not, the answer is "unknown outcome".
+        It may be run if it surely has not run before. Otherwise the answer to it is
+        "unknown outcome".
+
+        Parameters
+        ----------
+        issued_at : float
+            Issue time of the id, in seconds since the Unix epoch.
         """
         if self._first or self._handed_over:
             return True
-        if issued_at <= self._fresh_from:
+        if issued_at <= self._unknown_before:
             return False
         if self.state == "complete":
             return True
-        return self.state == "lapsed" and issued_at > self._taken_wall + self._skew_s
+        return self.state == "lapsed" and issued_at > self._begun_wall + self._skew_s
 
-    def _claims(self, now: float, among: set[str] | None = None) -> list[t.Any]:
-        names = set(self._missing) if among is None else among
+    def _due_claims(self, now: float, only: set[str] | None = None) -> list[t.Any]:
+        names = set(self._missing) if only is None else only
         if not self.claims_new:
-            names -= self._new
+            names -= self._unlisted
         due = [v for v, at in self._missing.items() if at <= now and v in names]
         for vm in due:
             self._missing[vm] = now + CLAIM_RETRY_S
         return [ClaimWorker(vm, self.epoch) for vm in due]
 
-    def _claim_reply(self, reply: ClaimReply) -> list[t.Any]:
+    def _process_reply(self, reply: ClaimReply) -> list[t.Any]:
         if reply.epoch != self.epoch and reply.accepted:
             return []
         if not reply.accepted:
             return self._refused(reply)
-        self._new.discard(reply.vm)
+        self._unlisted.discard(reply.vm)
         if reply.vm in self._missing:
             del self._missing[reply.vm]
             self._claimed.add(reply.vm)
@@ -168,20 +182,21 @@
         if isinstance(message, VmUpdate) and message.vm.name not in self._claimed:
             if message.vm.name not in self._missing:
                 self._missing[message.vm.name] = 0.0
-                self._new.add(message.vm.name)
-            # The others may not be known to the scheduler yet; a tick claims them.
-            return self._claims(now, {message.vm.name})
+                self._unlisted.add(message.vm.name)
+            # Only this VM is claimed here. The scheduler may not know the others yet;
+            # the next tick claims them.
+            return self._due_claims(now, {message.vm.name})
         if isinstance(message, VmGone):
-            self._gone(now, message.vm)
+            self._vm_gone(now, message.vm)
         return []
 
-    def _gone(self, now: float, vm: str) -> None:
+    def _vm_gone(self, now: float, vm: str) -> None:
         self._claimed.discard(vm)
-        self._new.discard(vm)
+        self._unlisted.discard(vm)
         if self._missing.pop(vm, None) is not None:
-            # What an unclaimed VM ran until it left cannot be asked any more.
+            # The VM was never claimed, so it is not known which ids it ran until now.
             wall = now + self._wall_offset
-            self._fresh_from = max(self._fresh_from, wall + self._skew_s)
+            self._unknown_before = max(self._unknown_before, wall + self._skew_s)
 
     def _step(self, now: float) -> None:
         if self.state in ("complete", "superseded"):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -15,7 +15,7 @@
     def test_heartbeats_do_not_grow_with_the_number_of_members(self):
         """Guards against a cost per node that grows with the fleet."""
         for count in (6, 30, 120):
-            targets = membership(count).targets(0.0, everyone=False)
+            targets = membership(count).due_peers(0.0, everyone=False)
             self.assertEqual(min(FANOUT, count - 1), len(targets))
 
     def test_suspicion_after_three_misses_is_refuted_by_a_message(self):
@@ -42,6 +42,6 @@
     def test_rumour_about_oneself_is_refuted(self):
         """Guards against a false suspicion that stays with distant members."""
         found = membership(30)
-        found.rumours(0.0, ["p000", "p020"])
+        found.add_suspicions(0.0, ["p000", "p020"])
         self.assertEqual(1, found.refuted)
         self.assertEqual(("p020",), found.suspects())
