--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -15,7 +15,7 @@
             self.ejector.record(now, vm, False, 0.01)
 
     def test_failing_vm_is_ejected_and_returns_by_steps(self):
-        """Guards against a black hole, and against its return at full weight."""
+        """Guards against work sent to a failing VM, and its return at full weight."""
         self.fail("vm0")
         self.assertEqual(0.0, self.ejector.weight(1.0, "vm0"))
         probe = self.ejector.weight(6.0, "vm0")
@@ -33,7 +33,7 @@
         self.assertEqual(2, sum(out))
 
     def test_forgotten_vm_frees_its_place(self):
-        """Guards against replaced VMs that use up the ejection bound."""
+        """Guards against removed VMs that still count as ejected."""
         self.fail("vm0")
         self.fail("vm1")
         self.ejector.forget("vm0")
@@ -42,15 +42,15 @@
         self.assertEqual(0.0, self.ejector.weight(1.0, "vm2"))
 
     def test_late_result_does_not_move_an_open_breaker(self):
-        """Guards against a VM let back in by work that it started before."""
+        """Guards against a VM that returns early by results of work started before."""
         self.fail("vm0")
         for _ in range(10):
             self.ejector.record(1.0, "vm0", True, 0.01)
         self.assertEqual(0.0, self.ejector.weight(4.9, "vm0"))
         self.assertTrue(0.0 < self.ejector.weight(5.0, "vm0") < 0.2)
 
-    def test_slow_vm_is_ejected_and_a_few_long_jobs_are_not_slowness(self):
-        """Guards against work on a VM that runs everything five times slower."""
+    def test_slow_vm_is_ejected_but_not_one_with_a_few_long_jobs(self):
+        """Guards against using a VM that runs everything five times slower."""
         for number in range(200):
             for vm in range(3):
                 self.ejector.record(0.0, f"vm{vm}", True, 1.0)
@@ -68,7 +68,7 @@
         self.assertEqual([1.0] * 4, weights)
 
     def test_vm_with_long_work_only_is_not_slow(self):
-        """Guards against ejecting a VM for the length of its work."""
+        """Guards against ejecting a VM because its jobs are long."""
         for _ in range(50):
             for vm in range(3):
                 self.ejector.record(0.0, f"vm{vm}", True, 1.0, expected_s=1.0)
--- a/tests/test_fencing.py
+++ b/tests/test_fencing.py
@@ -4,8 +4,8 @@
 
 
 class ValidUntilTest(testtools.TestCase):
-    def test_limit_is_early_whatever_the_delay_and_drift(self):
-        """Guards against a start that a worker accepts after the authority's end."""
+    def test_limit_is_early_for_any_delay_and_drift(self):
+        """Guards against a worker that accepts a start after the authority ended."""
         for delay in (0.0, 0.3, 2.0):
             for rate in (0.91, 1.0, 1.09):
                 # The worker read its clock at owner time 100 - delay.
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -6,7 +6,7 @@
 
 
 def fail_all_on(shard, bad):
-    """Let every task end, those on one VM by failing."""
+    """End every running task; those on the VM `bad` fail, the others succeed."""
     for start in list(shard.running.values()):
         failed = start.vm == bad
         state = AttemptState.FAILED if failed else AttemptState.SUCCEEDED
@@ -31,6 +31,7 @@
 
 
 def test_ejected_vm_returns():
+    """Guards against an ejected VM that never gets work again."""
     shard = Shard(plain(vms=2))
     shard.send(batch("first", need=SMALL))
     bad = shard.started(WorkKind.BATCH)[0].vm
@@ -42,7 +43,7 @@
         shard.tick(0.1)
         for start in list(shard.running.values()):
             shard.end(start)
-        # Each VM holds one of them, so that the open VM is tried.
+        # One of the two lands on each VM, so that the ejected VM gets probes.
         shard.send(batch(f"t{number}"))
         shard.send(batch(f"u{number}"))
     assert shard.scheduler.snapshot().usable == 2
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,14 +16,14 @@
         self.assertTrue(100 <= granted <= 110)
 
     def test_backoff_has_full_jitter_and_a_cap(self):
-        """Guards against callers that retry in step."""
+        """Guards against callers that all retry at the same time."""
         rng = random.Random(1)
         waits = [backoff_s(rng, 40) for _ in range(1000)]
         self.assertTrue(max(waits) <= 5.0)
         self.assertTrue(min(waits) < 0.5)
 
     def test_in_flight_limit_is_per_key(self):
-        """Guards against one slow peer that uses up every place."""
+        """Guards against one slow peer that uses up the limit of all peers."""
         in_flight = InFlight(1)
         self.assertTrue(in_flight.take("a"))
         self.assertFalse(in_flight.take("a"))
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -35,7 +35,19 @@
 
 
 class Group:
-    """Processes of one data centre and their store, without any delay."""
+    """Simulated processes of one data centre and their store, without delays.
+
+    Attributes
+    ----------
+    cut : set of str
+        Processes that reach neither the store nor their peers.
+    dead : set of str
+        Processes that have ended; connections to them are refused.
+    notices : list
+        Notices of the processes, each with the process name.
+    calls : int
+        Number of calls to the store.
+    """
 
     def __init__(self, *names, shards=SHARDS):
         self.now = 0.0
@@ -54,33 +66,33 @@
 
     def add(self, name, shards=SHARDS):
         self.members[name] = Ownership(name, name, random.Random(name))
-        self.give(name, ShardsConfigured(shards))
+        self.deliver(name, ShardsConfigured(shards))
 
-    def give(self, name, message):
+    def deliver(self, name, message):
         for out in self.members[name].handle(self.now, message):
-            self.carry_out(name, out)
+            self.execute(name, out)
 
-    def carry_out(self, name, out):
+    def execute(self, name, out):
         if isinstance(out, Authority | ShardTaken | ShardReleased):
             self.notices.append((name, out))
         elif isinstance(out, SendHeartbeat):
             self.heartbeat(name, out)
         elif isinstance(out, HeartbeatReply):
-            self.give(out.to, out)
+            self.deliver(out.to, out)
         elif type(out) in STORE_CALLS:
             self.calls += 1
             if self.store_up and name not in self.cut:
                 STORE_CALLS[type(out)](self, name, out)
             else:
-                self.give(name, STORE_DOWN[type(out)])
+                self.deliver(name, STORE_DOWN[type(out)])
 
     def heartbeat(self, name, out):
         if out.to in self.dead:
-            self.give(name, ProvenDead(out.to))
+            self.deliver(name, ProvenDead(out.to))
         elif {out.to, name} & self.cut:
-            self.give(name, PeerMissed(out.to))
+            self.deliver(name, PeerMissed(out.to))
         else:
-            self.give(out.to, out.heartbeat)
+            self.deliver(out.to, out.heartbeat)
 
     def live(self):
         return frozenset(k for k, until in self.leases.items() if until > self.now)
@@ -88,31 +100,31 @@
     def grant(self, name, _):
         lease = f"lease{len(self.leases)}"
         self.leases[lease] = self.now + 6.0
-        self.give(name, LeaseGranted(lease, self.now))
+        self.deliver(name, LeaseGranted(lease, self.now))
 
     def renew(self, name, out):
         if out.lease not in self.live():
-            self.give(name, LeaseFailed(out.lease, lapsed=True))
+            self.deliver(name, LeaseFailed(out.lease, lapsed=True))
             return
         self.leases[out.lease] = self.now + 6.0
-        self.give(name, LeaseRenewed(out.lease, self.now))
+        self.deliver(name, LeaseRenewed(out.lease, self.now))
 
     def revoke(self, name, out):
         self.leases[out.lease] = self.now
 
     def read(self, name, _):
-        self.give(name, RecordSeen(self.record, self.version, self.live()))
+        self.deliver(name, RecordSeen(self.record, self.version, self.live()))
 
     def write(self, name, out):
         if out.version != self.version:
-            self.give(name, RecordConflict())
+            self.deliver(name, RecordConflict())
             return
         self.version += 1
         self.record = out.record
         if self.lose_write_reply:
-            self.give(name, RecordUnknown())
+            self.deliver(name, RecordUnknown())
             return
-        self.give(name, RecordWritten(self.version))
+        self.deliver(name, RecordWritten(self.version))
         for other in set(self.members) - self.dead - self.cut:
             self.read(other, None)
 
@@ -120,7 +132,7 @@
         for _ in range(round(seconds * 10)):
             self.now += 0.1
             for name in sorted(set(self.members) - self.dead):
-                self.give(name, Tick())
+                self.deliver(name, Tick())
 
     def owners(self):
         return {k: v.owner for k, v in self.record.shards.items()}
@@ -158,7 +170,7 @@
 
 class OwnershipTest(testtools.TestCase):
     def test_shards_are_taken_and_spread(self):
-        """Guards against one process keeping every shard after a joint start."""
+        """Guards against one process that keeps every shard after a common start."""
         group = Group("a#1", "b#1")
         group.run(15)
         self.assertEqual({"a#1", "b#1"}, set(group.owners().values()))
@@ -209,7 +221,10 @@
         self.assertTrue(group.taken(after.owner)[-1].known)
 
     def test_member_that_joined_after_the_owner_is_known_by_its_promises(self):
-        """Guards against a take-over that forgets the old owner before it is judged."""
+        """Guards against a take-over that drops the state of the old owner too early.
+
+        That state decides whether the old owner knew this process as a member.
+        """
         group = Group("a#1", shards=("dc1/0",))
         group.run(5)
         group.add("b#1", ("dc1/0",))
@@ -220,7 +235,7 @@
         self.assertTrue(group.taken("b#1")[-1].known)
 
     def test_uncertain_ownership_passes_to_the_next_owner(self):
-        """Guards against an owner two terms back that still has authority."""
+        """Guards against an owner before the last one that still has authority."""
         group = Group("a#1", shards=("dc1/0",))
         group.run(5)
         group.cut.add("a#1")
@@ -230,17 +245,17 @@
         self.assertTrue(group.record.shards["dc1/0"].uncertain)
         group.add("c#1", ("dc1/0",))
         group.run(3)
-        group.give("b#1", Leave())
+        group.deliver("b#1", Leave())
         group.run(3)
         self.assertEqual("c#1", group.owners()["dc1/0"])
         self.assertFalse(group.taken("c#1")[-1].known)
         epoch = group.members["c#1"].owned["dc1/0"]
-        group.give("c#1", ShardSettled("dc1/0", epoch))
+        group.deliver("c#1", ShardSettled("dc1/0", epoch))
         group.run(3)
         self.assertFalse(group.record.shards["dc1/0"].uncertain)
 
     def test_no_promise_while_a_take_over_is_in_flight(self):
-        """Guards against a write that takes effect after its sender promised."""
+        """Guards against a take-over that succeeds after its sender gave a promise."""
         group = Group("a#1", "b#1")
         group.run(15)
         owner = group.owners()["dc1/0"]
@@ -275,14 +290,14 @@
             self.assertFalse(reply.promised)
 
     def test_lost_reply_of_a_take_over_is_read_back(self):
-        """Guards against a shard that no process knows it owns."""
+        """Guards against a shard whose owner does not know that it owns it."""
         group = Group("a#1", shards=("dc1/0",))
         group.lose_write_reply = True
         group.run(20)
         self.assertEqual({"dc1/0": 1}, group.members["a#1"].owned)
 
     def test_calls_after_an_outage_are_spread(self):
-        """Guards against all members that ask the recovering store at once."""
+        """Guards against all members calling the recovering store at once."""
         group = Group(*(f"p{number}#1" for number in range(20)))
         group.run(20)
         group.store_up = False
@@ -300,7 +315,7 @@
         group = Group("a#1", "b#1", "c#1")
         group.run(15)
         owner = group.owners()["dc1/0"]
-        group.give(owner, Leave())
+        group.deliver(owner, Leave())
         group.run(0.5)
         self.assertNotIn(owner, group.owners().values())
         successor = group.owners()["dc1/0"]
@@ -308,12 +323,12 @@
         self.assertEqual("left", group.members[owner].state)
 
     def test_release_is_tried_again_soon(self):
-        """Guards against tasks that end while no owner renews their leases."""
+        """Guards against tasks that end because no owner renews their leases."""
         group = Group("a#1", "b#1", shards=("dc1/0",))
         group.run(15)
         owner = group.owners()["dc1/0"]
         group.store_up = False
-        group.give(owner, Leave())
+        group.deliver(owner, Leave())
         group.run(2)
         group.store_up = True
         group.run(1)
@@ -321,7 +336,7 @@
         self.assertNotIn("", group.owners().values())
 
     def test_restarted_process_is_unknown_to_the_old_owner(self):
-        """Guards against a process that has forgotten its promises."""
+        """Guards against trusting a process that lost its promises at a restart."""
         group = Group("a#1", "b#1")
         group.run(15)
         owner = group.owners()["dc1/0"]
--- a/tests/test_resources.py
+++ b/tests/test_resources.py
@@ -5,7 +5,7 @@
 
 class ResourcesTest(testtools.TestCase):
     def test_fits_in_checks_each_resource(self):
-        """Guards against a GPU task being placed where only CPU and memory suffice."""
+        """Guards against placing a GPU task where only CPU and memory suffice."""
         free = Resources(4000, 8192, 0)
         self.assertTrue(Resources(4000, 8192, 0).fits_in(free))
         self.assertFalse(Resources(100, 100, 1).fits_in(free))
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -21,7 +21,7 @@
 from tests.shard import Shard, batch
 
 
-def test_split_gives_every_replica_to_exactly_one_shard():
+def test_apportion_gives_every_replica_to_exactly_one_shard():
     assert apportion(10, {"a": 1, "b": 1, "c": 1}) == {"a": 4, "b": 3, "c": 3}
     assert apportion(0, {"a": 1}) == {"a": 0}
     assert apportion(3, {}) == {}
@@ -55,7 +55,7 @@
 
 
 def test_shrinking_drains_a_replica_only_when_it_has_no_request():
-    """Guards against a request being cut when a service shrinks."""
+    """Guards against requests cut off when a service shrinks."""
     config = configuration()
     shard = Shard(config)
     for number in range(16):
@@ -71,8 +71,8 @@
     assert shard.started(WorkKind.REQUEST)[-1].executor not in drained(shard)
 
 
-def test_growing_service_takes_the_room_of_work_that_can_be_checkpointed():
-    """Guards against a demand peak waiting behind batch work in a full cell."""
+def test_growing_service_preempts_work_that_can_be_checkpointed():
+    """Guards against a demand peak that waits behind batch work in a full cell."""
     config = configuration(vms=1, replicas=1, policy=Policy(short_s=1e9))
     shard = Shard(config)
     shard.send(batch("b1", need=Resources(8000, 1024, 0), checkpointable=True))
@@ -108,7 +108,7 @@
 
 
 def test_leaving_vm_gets_no_request_after_two_seconds_without_a_successor():
-    """Guards against a full cell keeping work on a VM that is about to go (P6)."""
+    """Guards against sending work to a leaving VM because the cell is full (P6)."""
     config = configuration(vms=1, replicas=1)
     shard = Shard(config)
     shard.send(VmUpdate(config.vms("dc1")[0], True))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -36,45 +36,45 @@
 )
 
 
-def sent(message, now=0.0):
-    """Return a message after its way over the wire."""
+def round_trip(message, now=0.0):
+    """Return a message after encoding to JSON and decoding."""
     return wire.decode(json.loads(json.dumps(wire.encode(message, now))), now)
 
 
 class WireTest(testtools.TestCase):
     @given(_WORK)
-    def test_messages_survive_the_way(self, work):
+    def test_messages_survive_a_round_trip(self, work):
         """Guards against fields lost or changed between processes."""
         start = StartAttempt("vm", "a1", 3, 99, work, 2, "e1")
         for message in (Submit(work, "p1"), start):
-            self.assertEqual(message, sent(message))
+            self.assertEqual(message, round_trip(message))
 
-    def test_reports_survive_the_way(self):
-        """Guards against nested tuples, enums and resources that stay as JSON."""
+    def test_reports_survive_a_round_trip(self):
+        """Guards against nested tuples, enums and resources decoded as plain JSON."""
         report = AttemptReport("a", "r", AttemptState.FAILED, used=Resources(1, 2, 3))
         reply = PollReply("vm", 1, (report,), 7, True, Resources(4, 5, 6))
-        self.assertEqual(reply, sent(reply))
+        self.assertEqual(reply, round_trip(reply))
         answer = Answer("r", Code.FAILED, Code.FAILED.outcome, ({"a": 1}, None))
-        self.assertEqual(answer, sent(answer))
+        self.assertEqual(answer, round_trip(answer))
 
-    def test_mappings_of_data_classes_survive(self):
+    def test_mappings_of_data_classes_survive_a_round_trip(self):
         """Guards against an assignment record that cannot be read back."""
         record = Record(
             3, 2, {"p": Member("p", "a", "l", 1)}, {"s": ShardOwner("p", 2)}
         )
         seen = RecordSeen(record, 9, frozenset({"l"}))
         wire.register(RecordSeen)
-        self.assertEqual(seen, sent(seen))
+        self.assertEqual(seen, round_trip(seen))
 
     def test_deadlines_move_to_the_receivers_clock(self):
-        """Guards against a deadline read on the wrong process's monotonic clock."""
+        """Guards against reading a deadline on the sender's monotonic clock."""
         found = wire.encode(Submit(Work("r", deadline=105.0)), 100.0)
         self.assertEqual(12.0, wire.decode(found, 7.0).work.deadline)
         endless = wire.decode(wire.encode(Submit(Work("r")), 1.0), 2.0)
         self.assertTrue(math.isinf(endless.work.deadline))
 
     def test_malformed_messages_are_refused(self):
-        """Guards against a peer's bad message that ends a task with a traceback."""
+        """Guards against a malformed message of a peer that crashes a task."""
         bad = [
             None,
             {},
@@ -96,5 +96,5 @@
             self.assertRaises(PoplaryardError, wire.decode, item, 0.0)
 
     def test_tuples_of_mixed_types_are_refused_when_first_used(self):
-        """Guards against a tuple whose items are all read as its first type."""
+        """Guards against decoding all items of a tuple as the type of the first."""
         self.assertRaises(TypeError, wire._codecs, tuple[str, int])
