--- a/src/poplaryard/ejection.py
+++ b/src/poplaryard/ejection.py
@@ -75,6 +75,7 @@
 
     def __init__(self) -> None:
         self._vms: dict[str, _Health] = {}
+        # By class: VMs, ejected VMs, mean run time, and sum of the failed shares.
         self._class_sizes: dict[str, int] = {}
         self._ejected: dict[str, int] = {}
         self._run_times: dict[str, _Mean] = {}
--- a/src/poplaryard/estimate.py
+++ b/src/poplaryard/estimate.py
@@ -1,4 +1,4 @@
-"""Estimates of size and run time, learned from finished tasks of the same class."""
+"""Estimates of size and run time, learned from measurements of tasks of one class."""
 
 import math
 import typing as t
--- a/src/poplaryard/health.py
+++ b/src/poplaryard/health.py
@@ -24,6 +24,7 @@
         self._state = state
         self._estimator = estimator
         self._ejector = Ejector()
+        # VMs whose weight is below 1.
         self._reduced: dict[str, Vm] = {}
 
     def add(self, vm: Vm) -> None:
--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -8,7 +8,7 @@
 from .codes import Code, Outcome
 from .messages import Answer, AttemptReport, AttemptState, Work
 
-__all__ = ["RequestStatus", "Ledger", "Registered"]
+__all__ = ["Ledger", "Registered", "RequestStatus"]
 
 # Time for which answers to idempotent requests are kept. Running such a request again
 # does no harm, and at 500 requests/s the answers of 10 min would exceed the memory
@@ -45,9 +45,11 @@
     # Number of tasks; 0 after a take-over until the request itself is submitted, as
     # reports of its attempts do not give the number.
     tasks: int = 0
+    # Hash of the request, to detect another request under the same id.
     digest: int | None = None
     idempotent: bool = False
     exclusive_key: str = ""
+    # Highest number of a submission; None if the caller gives no numbers.
     attempt_number: int | None = None
     # Task of each attempt in progress, by attempt id.
     attempts: dict[str, int] = field(default_factory=dict)
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -105,8 +105,11 @@
         self._balance_at = 0.0
         self._shards: tuple[str, ...] = ()
         self._owned: dict[str, _Owned] = {}
+        # Epoch of each owned shard that a worker has refused; the shard is released.
         self._refused: dict[str, int] = {}
+        # Successor of each shard whose release is not confirmed yet.
         self._releasing: dict[str, str] = {}
+        # Time since which each free shard has been free.
         self._free_since: dict[str, float] = {}
         self._watching = False
         self._leaving = False
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -32,6 +32,8 @@
     def __init__(self, state: ShardState, preemptor: Preemptor):
         self._state = state
         self._preemptor = preemptor
+        # Job that stands for the replicas of a service while batch work is preempted
+        # for them; it holds the capacity that becomes free.
         self._making_room: dict[str, Job] = {}
         self._last_hold = 0
         self._groups: t.Mapping[str, VmGroupSpec] = {}
@@ -110,7 +112,7 @@
                 del self._state.pools[name]
 
     def _settled(self, now: float) -> bool:
-        """Return whether the claims after a take-over are answered or timed out.
+        """Return whether no more answers to the claims of a take-over are awaited.
 
         Until then, replicas that already run may not be known yet, so none is started.
         """
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -52,7 +52,9 @@
         self._state = state
         self._estimator = estimator
         self._requeue = requeue
+        # Attempts to stop.
         self._queued_stops: deque[str] = deque()
+        # Attempts to which a stop was sent, each with the time to repeat it.
         self._sent_stops: deque[tuple[float, str]] = deque()
 
     def progress(self, vm: Vm, attempt: Attempt, report: AttemptReport) -> None:
--- a/src/poplaryard/services.py
+++ b/src/poplaryard/services.py
@@ -18,7 +18,7 @@
 CLOSE_AFTER_S = 2.0
 
 # Time after which a replica of an outdated size is closed even without a successor, so
-# that a lack of free capacity cannot block a change for ever.
+# that a lack of free capacity cannot block a change forever.
 ROLL_WAIT_S = 30.0
 
 NEVER = float("inf")
--- a/src/poplaryard/takeover.py
+++ b/src/poplaryard/takeover.py
@@ -92,12 +92,14 @@
         self.claims_new = True
         self._known = known
         self._list_read = list_read
+        # Missing workers that were not listed at the take-over.
         self._unlisted: set[str] = set()
         self._first = first
         self._handed_over = handed_over
         self._skew_s = skew_s
         self._wait_until = now + (lease_wait_s() if wait_s is None else wait_s)
         self._wall_offset = wall - now
+        # Workers to be claimed, each with the time of its next claim.
         self._missing: dict[str, float] = dict.fromkeys(workers, 0.0)
         self._claimed: set[str] = set()
         # Ids issued before this wall-clock time may have run on VMs that have left and
