--- a/src/poplaryard/assignment.py
+++ b/src/poplaryard/assignment.py
@@ -139,7 +139,7 @@
         self._conflicts = 0
         return write
 
-    def written(self, message: RecordWritten, lease: str) -> RecordSeen | None:
+    def on_written(self, message: RecordWritten, lease: str) -> RecordSeen | None:
         """Return the record as written, or None if this or a later one was seen."""
         if self.write is None or message.version <= self.view.version:
             return None
@@ -160,7 +160,7 @@
             return []
         return [WriteRecord(write.record, write.version)]
 
-    def conflicted(self, now: float) -> list[t.Any]:
+    def on_conflict(self, now: float) -> list[t.Any]:
         """Process a conflict, and schedule the next write and a read before it.
 
         A write of unknown outcome is kept, because an earlier copy of it may have
@@ -179,7 +179,7 @@
         self._read_at = min(self._read_at, self.write_at)
         return []
 
-    def failed(self, now: float) -> list[t.Any]:
+    def on_failure(self, now: float) -> list[t.Any]:
         """Process a read or write that did not reach the store."""
         self._reading = False
         write = self.write
@@ -193,7 +193,7 @@
             self.write = None
         return []
 
-    def unknown(self, now: float) -> list[t.Any]:
+    def on_unknown_outcome(self, now: float) -> list[t.Any]:
         """Process a write that may or may not have taken effect."""
         if self.write is not None:
             self.write.outcome_unknown = True
--- a/src/poplaryard/ejection.py
+++ b/src/poplaryard/ejection.py
@@ -10,32 +10,37 @@
 
 _CHART = load_chart("ejection")
 
-# Number of recent results kept, fewest that are judged, and failed share that ejects.
+# Number of recent results kept for each VM.
 _WINDOW = 20
+# With fewer results than this, a VM does not count as failing.
 _MIN_SAMPLES = 10
+# Share of failed results from which a VM counts as failing.
 _FAILED_SHARE = 0.5
 # A VM is ejected only if its failure rate is also this factor above that of the others
 # of its class. Otherwise the fault is in the work, and ejection only loses capacity.
 _FAILED_FACTOR = 2.0
-# Time without work after an ejection; each failed probe doubles it up to the maximum.
-_COOL_S = 5.0
-_MAX_COOL_S = 60.0
-# Probes that must succeed, and the share of normal work that a VM gets meanwhile.
+# Time for which an ejected VM gets no work; each failed probe doubles it up to a limit.
+_COOLDOWN_S = 5.0
+_MAX_COOLDOWN_S = 60.0
+# Number of probes that must succeed before more work is given to a VM.
 _PROBES = 3
+# Share of its normal work that a VM gets as probes.
 _PROBE_WEIGHT = 0.05
-# Time over which the weight then grows to 1.
+# Time over which the weight of a VM grows to 1 after its probes have succeeded.
 _RAMP_S = 20.0
 # Largest share of a class that is ejected at a time.
 _MAX_EJECTED = 0.5
 # A VM is slow if its run times are this factor above those of its class. Logarithms are
 # averaged, so that a few long jobs do not make a VM slow.
 _SLOW_FACTOR = 3.0
+# Weight of a new run time in these means.
 _SLOW_WEIGHT = 0.1
+# With fewer run times than this, a VM does not count as slow.
 _SLOW_SAMPLES = 10
 
 
 @dataclass(slots=True)
-class _Mean:
+class _MeanLogRatio:
     """Exponentially weighted mean of the logarithm of actual to expected run time."""
 
     value: float = 0.0
@@ -54,10 +59,10 @@
     group: str = ""
     state: str = _CHART.initial
     since: float = 0.0
-    cool_s: float = field(default_factory=lambda: _COOL_S)
+    cooldown_s: float = field(default_factory=lambda: _COOLDOWN_S)
     probes: int = 0
     results: deque[bool] = field(default_factory=lambda: deque(maxlen=_WINDOW))
-    run_time: _Mean = field(default_factory=_Mean)
+    run_time: _MeanLogRatio = field(default_factory=_MeanLogRatio)
 
     @property
     def failed_share(self) -> float:
@@ -78,7 +83,7 @@
         # By class: VMs, ejected VMs, mean run time, and sum of the failed shares.
         self._class_sizes: dict[str, int] = {}
         self._ejected: dict[str, int] = {}
-        self._run_times: dict[str, _Mean] = {}
+        self._run_times: dict[str, _MeanLogRatio] = {}
         self._failed_shares: dict[str, float] = {}
 
     def add(self, vm: str, group: str = "") -> None:
@@ -120,7 +125,7 @@
         if ok:
             health.run_time.add(elapsed_s / expected_s)
             if health.state == "closed":
-                self._run_times.setdefault(health.group, _Mean()).add(
+                self._run_times.setdefault(health.group, _MeanLogRatio()).add(
                     elapsed_s / expected_s
                 )
         if health.state == "half_open":
@@ -146,10 +151,10 @@
 
     def _advance(self, now: float, health: _Health) -> None:
         elapsed_s = now - health.since
-        if health.state == "open" and elapsed_s >= health.cool_s:
+        if health.state == "open" and elapsed_s >= health.cooldown_s:
             self._apply(now, health, "cooled")
         elif health.state == "ramp" and elapsed_s >= _RAMP_S:
-            health.cool_s = _COOL_S
+            health.cooldown_s = _COOLDOWN_S
             self._apply(now, health, "ramp_ended")
 
     def _update_window(self, health: _Health, ok: bool | None) -> None:
@@ -184,7 +189,7 @@
 
     def _record_probe(self, now: float, health: _Health, ok: bool) -> None:
         if not ok:
-            health.cool_s = min(_MAX_COOL_S, 2 * health.cool_s)
+            health.cooldown_s = min(_MAX_COOLDOWN_S, 2 * health.cooldown_s)
             self._apply(now, health, "probe_failed")
             return
         health.probes += 1
@@ -203,6 +208,6 @@
         is_ejected = health.state in ("open", "half_open")
         health.since, health.probes = now, 0
         self._update_window(health, None)
-        health.run_time = _Mean()
+        health.run_time = _MeanLogRatio()
         change = int(is_ejected) - int(was_ejected)
         self._ejected[health.group] = self._ejected.get(health.group, 0) + change
--- a/src/poplaryard/fencing.py
+++ b/src/poplaryard/fencing.py
@@ -7,7 +7,7 @@
     "REMEMBERED_S",
     "TASK_LEASE_S",
     "lease_wait_s",
-    "drift_safe",
+    "shorten_for_drift",
     "valid_until_ms",
 ]
 
@@ -17,11 +17,12 @@
 # Time for which a worker lets a task run after the last renewal of its lease.
 TASK_LEASE_S = 4.0
 
-# Time for which a worker keeps the record of an attempt after its end (G3, G5).
+# Time for which a worker keeps the record of an attempt after its end; see guarantees
+# G3 and G5 of the design page.
 REMEMBERED_S = 600.0
 
 
-def drift_safe(seconds: float, drift: float = DRIFT) -> float:
+def shorten_for_drift(seconds: float, drift: float = DRIFT) -> float:
     """Return how much of a remotely granted time is safe to use on the local clock."""
     return seconds * (1.0 - drift)
 
@@ -53,5 +54,5 @@
     """
     if authority_until <= received_at:
         return worker_clock_ms - 1
-    usable = drift_safe(authority_until - received_at)
+    usable = shorten_for_drift(authority_until - received_at)
     return worker_clock_ms + math.floor(usable * 1000.0)
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -198,7 +198,7 @@
         """Take the check for known ids out of a ledger."""
         if self.lacks("duplicate"):
             weak = t.cast(t.Any, ledger)
-            weak._known = functools.partial(_always_new, ledger)
+            weak._register_known = functools.partial(_always_new, ledger)
 
     # Messages
 
--- a/src/poplaryard/health.py
+++ b/src/poplaryard/health.py
@@ -10,7 +10,7 @@
 __all__ = ["Health"]
 
 # Lower bound of the expected run time, because the ejector divides by it.
-_LEAST_S = 0.001
+_MIN_EXPECTED_S = 0.001
 
 
 class Health:
@@ -43,7 +43,7 @@
         if report.state not in (AttemptState.SUCCEEDED, AttemptState.FAILED):
             return
         ok = report.state is AttemptState.SUCCEEDED
-        expected_s = max(_LEAST_S, self._estimator.run_time_s(attempt.work))
+        expected_s = max(_MIN_EXPECTED_S, self._estimator.run_time_s(attempt.work))
         self._ejector.record(now, vm.name, ok, report.elapsed_s, expected_s)
         if self._ejector.weight(now, vm.name) == 0.0:
             if vm.name not in self._reduced:
--- a/src/poplaryard/heartbeats.py
+++ b/src/poplaryard/heartbeats.py
@@ -102,9 +102,9 @@
     def was_known_to(self, owner: str, record: Record) -> bool:
         """Return whether an old owner knew this process as a member.
 
-        If so, its authority depended on a promise of this process. It knew this process
-        if it joined later itself, or if it requested a promise after it had seen a
-        record with this process.
+        If so, the authority of the owner depended on a promise of this process. An
+        owner knows this process if this process joined first, or if the owner has
+        requested a promise after it had seen a record with this process.
         """
         me, old = record.members.get(self._process), record.members.get(owner)
         if me is None:
--- a/src/poplaryard/lease.py
+++ b/src/poplaryard/lease.py
@@ -3,7 +3,7 @@
 import random
 import typing as t
 
-from .fencing import drift_safe
+from .fencing import shorten_for_drift
 from .ownership_messages import (
     GrantLease,
     LeaseFailed,
@@ -15,6 +15,7 @@
 
 __all__ = ["LEASE_TTL_S", "RETRY_S", "SPREAD_S", "Lease"]
 
+# Time after the last renewal at which the store ends the lease.
 LEASE_TTL_S = 6.0
 
 # Interval between renewals.
@@ -51,8 +52,8 @@
         self._calling = False
         self._call_at = float("-inf")
 
-    def calls(self, now: float) -> list[t.Any]:
-        """Return the call to the store that is due, if any."""
+    def due_calls(self, now: float) -> list[t.Any]:
+        """Return the call to the store that is due, if any, and mark it as sent."""
         if self._calling or now < self._call_at:
             return []
         self._calling = True
@@ -94,5 +95,5 @@
     def _confirm(self, sent_at: float) -> None:
         self._calling = False
         self.confirmed_at = max(self.confirmed_at, sent_at)
-        self.until = max(self.until, sent_at + drift_safe(LEASE_TTL_S))
+        self.until = max(self.until, sent_at + shorten_for_drift(LEASE_TTL_S))
         self._call_at = sent_at + RENEW_S * self._rng.uniform(0.95, 1.05)
--- a/src/poplaryard/membership.py
+++ b/src/poplaryard/membership.py
@@ -16,10 +16,10 @@
 # Missed heartbeats in a row after which a peer is suspected.
 MISSES = 3
 
-# Each suspicion raises the penalty of a peer by 1, and the penalty decays with the
-# half-life. A peer with this penalty is avoided, so that a peer that alternates between
-# failing and answering does not make routes change each second.
-FLAPS = 3.0
+# Penalty from which a peer is avoided. Each suspicion raises the penalty of a peer by
+# 1, and it decays with the half-life. Without it, a peer that alternates between
+# failing and answering would make routes change each second.
+PENALTY_LIMIT = 3.0
 FLAP_HALF_LIFE_S = 30.0
 
 
@@ -122,7 +122,7 @@
         return {
             name
             for name, peer in peers
-            if peer.suspected or _decayed(peer, now) >= FLAPS
+            if peer.suspected or _decayed(peer, now) >= PENALTY_LIMIT
         }
 
     def _monitored(self) -> set[str]:
--- a/src/poplaryard/messages.py
+++ b/src/poplaryard/messages.py
@@ -254,7 +254,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Periodic call that triggers whatever is due by now."""
+    """Periodic message on which deadlines, retries and renewals are processed."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -56,7 +56,7 @@
     # Attempts that have ended. A late report that one is running must not reopen it.
     closed: set[str] = field(default_factory=set)
     # Tasks of non-idempotent work that may have run and must not be started again.
-    spent: set[int] = field(default_factory=set)
+    not_restartable: set[int] = field(default_factory=set)
     # Final state and result of each ended task.
     parts: dict[int, tuple[AttemptState, t.Any]] = field(default_factory=dict)
     # Whether any attempt may have run, even if its task may be started again.
@@ -119,7 +119,7 @@
         self.expire(now)
         entry = self._entries.get(work.request_id)
         if entry is not None:
-            return self._known(now, entry, work, attempt, may_run_unreported)
+            return self._register_known(now, entry, work, attempt, may_run_unreported)
         self._evict_oldest()
         code = self._refusal(wall, work, may_run_unreported)
         if code is not None:
@@ -133,7 +133,7 @@
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not None or task in entry.parts:
             return False
-        if task in entry.spent or task in entry.attempts.values():
+        if task in entry.not_restartable or task in entry.attempts.values():
             return False
         return not entry.exclusive_key or not self._keys.get(entry.exclusive_key)
 
@@ -142,13 +142,13 @@
         entry = self._entries[request_id]
         self._open(entry, attempt_id, task)
         if not entry.idempotent:
-            entry.spent.add(task)
+            entry.not_restartable.add(task)
 
     def refused(self, now: float, attempt_id: str) -> None:
         """Record that the worker refused an attempt, which has not run."""
         entry, task = self._close(attempt_id)
         if entry is not None:
-            entry.spent.discard(task)
+            entry.not_restartable.discard(task)
 
     def report(self, now: float, report: AttemptReport) -> Answer | None:
         """Process a worker's report; return the answer if it completes the request.
@@ -163,7 +163,7 @@
         entry.closed.add(report.attempt_id)
         entry.may_have_run = True
         if report.state is AttemptState.CHECKPOINTED:
-            entry.spent.discard(report.task)
+            entry.not_restartable.discard(report.task)
             return None
         if report.state is AttemptState.STOPPED and entry.idempotent:
             return None
@@ -217,7 +217,7 @@
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not None:
             return None
-        entry.spent.update(range(entry.tasks))
+        entry.not_restartable.update(range(entry.tasks))
         entry.may_have_run = True
         return self._settle(now, entry)
 
@@ -240,7 +240,7 @@
             self._open(entry, report.attempt_id, report.task)
             entry.may_have_run = True
             if not entry.idempotent:
-                entry.spent.add(report.task)
+                entry.not_restartable.add(report.task)
         return None
 
     def attempts(self, request_id: str) -> dict[str, int]:
@@ -253,7 +253,9 @@
         entry = self._entries.get(request_id)
         if entry is None or entry.answer is not None:
             return []
-        taken = entry.spent | set(entry.attempts.values()) | entry.parts.keys()
+        taken = (
+            entry.not_restartable | set(entry.attempts.values()) | entry.parts.keys()
+        )
         return [task for task in range(entry.tasks) if task not in taken]
 
     def holder(self, exclusive_key: str) -> str | None:
@@ -301,7 +303,7 @@
             return Code.ID_EXPIRED
         return None if may_run_unreported else Code.UNKNOWN_OUTCOME
 
-    def _known(
+    def _register_known(
         self,
         now: float,
         entry: _Entry,
@@ -309,10 +311,11 @@
         attempt: int | None,
         may_run_unreported: bool,
     ) -> Registered:
+        """Register a submission whose id already has an entry in the ledger."""
         if entry.digest is None:
             _set_request(entry, work, attempt)
             if not work.idempotent and not may_run_unreported:
-                entry.spent.update(range(work.tasks))
+                entry.not_restartable.update(range(work.tasks))
                 entry.may_have_run = True
             self._settle(now, entry)
         elif entry.digest != _digest(work):
@@ -352,10 +355,10 @@
                 del self._keys[entry.exclusive_key]
 
     def _settle(self, now: float, entry: _Entry) -> Answer | None:
-        """Answer a request if all its tasks have ended, or if some never can.
+        """Answer a request if all its tasks have ended, or if a result is lost.
 
-        The second case is a non-idempotent request with a task that may have run but
-        has no result: the answer is "unknown outcome".
+        The second case is a non-idempotent request without attempts in progress, one
+        task of which may have run but has no result. Its answer is "unknown outcome".
         """
         if entry.tasks == 0:
             if not entry.attempts:
@@ -365,7 +368,7 @@
             return self._complete(now, entry)
         if entry.idempotent or entry.attempts or entry.answer is not None:
             return None
-        if entry.spent <= entry.parts.keys():
+        if entry.not_restartable <= entry.parts.keys():
             return None
         return self._answer(now, entry, Code.UNKNOWN_OUTCOME)
 
@@ -410,7 +413,7 @@
     entry.attempt_number = attempt
     entry.exclusive_key = entry.exclusive_key or work.exclusive_key
     if work.idempotent:
-        entry.spent.clear()
+        entry.not_restartable.clear()
         stopped = [
             task
             for task, (state, _) in entry.parts.items()
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -6,7 +6,7 @@
 
 from . import acquisition
 from .assignment import Assignment, Write
-from .fencing import drift_safe, lease_wait_s
+from .fencing import lease_wait_s, shorten_for_drift
 from .heartbeats import Heartbeats
 from .lease import LEASE_TTL_S, SPREAD_S, Lease
 from .messages import Authority, Tick
@@ -49,7 +49,7 @@
 
 # Longest authority announced at a time; ticks renew it. It is as long as the authority
 # by a store lease, so that workers see no difference between a lease and promises.
-AUTHORITY_S = drift_safe(LEASE_TTL_S)
+AUTHORITY_S = shorten_for_drift(LEASE_TTL_S)
 
 # Value of `SPREAD_S` for a process that must not wait: it is leaving, releases shards
 # or has only limited authority.
@@ -143,7 +143,7 @@
     def _tick(self, now: float, _: Tick) -> list[t.Any]:
         out = self._authorities(now)
         if self.state != "left":
-            out += self._lease.calls(now)
+            out += self._lease.due_calls(now)
         out += self._record_calls(now)
         out += self._send_heartbeats(now)
         return out
@@ -264,17 +264,17 @@
         return self._heartbeats.was_known_to(old.owner, before)
 
     def _record_written(self, now: float, message: RecordWritten) -> list[t.Any]:
-        seen = self._assignment.written(message, self._lease.name)
+        seen = self._assignment.on_written(message, self._lease.name)
         return self._update_view(now, seen) if seen else []
 
     def _record_conflict(self, now: float, _: RecordConflict) -> list[t.Any]:
-        return self._assignment.conflicted(now)
+        return self._assignment.on_conflict(now)
 
     def _record_failed(self, now: float, _: RecordFailed) -> list[t.Any]:
-        return self._assignment.failed(now)
+        return self._assignment.on_failure(now)
 
     def _record_unknown(self, now: float, _: RecordUnknown) -> list[t.Any]:
-        return self._assignment.unknown(now)
+        return self._assignment.on_unknown_outcome(now)
 
     def _watch(self, now: float) -> list[t.Any]:
         """Start or stop watching the record.
@@ -307,6 +307,11 @@
         )
 
     def _join(self) -> list[t.Any]:
+        """Return the write that adds this process and its lease to the record.
+
+        A process that is leaving and owns no shard does not join any more: it revokes
+        its lease instead.
+        """
         if self._leaving and not self.record.owned_by(self.process):
             return self._revoke()
         record = self.record.with_member(self.process, self._address, self._lease.name)
@@ -486,7 +491,10 @@
 def _authority(
     now: float, shard: str, owned: _Owned, full_until: float
 ) -> Authority | None:
-    """Return the authority to announce for a shard, or None if none is due."""
+    """Return the authority to announce for a shard, or None if none is due.
+
+    The result is stored in `owned` as the last one announced.
+    """
     last = owned.announced
     if full_until > now:
         until = min(full_until, now + AUTHORITY_S)
--- a/src/poplaryard/promises.py
+++ b/src/poplaryard/promises.py
@@ -2,7 +2,7 @@
 
 import typing as t
 
-from .fencing import drift_safe
+from .fencing import shorten_for_drift
 
 __all__ = ["PROMISE_S", "Promises"]
 
@@ -29,7 +29,7 @@
 
     def receive(self, sent_at: float, member: str) -> None:
         """Record the promise of a member, given for a request sent at `sent_at`."""
-        until = sent_at + drift_safe(PROMISE_S)
+        until = sent_at + shorten_for_drift(PROMISE_S)
         self._received[member] = max(until, self._received.get(member, until))
 
     def given_until(self, owner: str) -> float:
--- a/src/poplaryard/record.py
+++ b/src/poplaryard/record.py
@@ -42,9 +42,10 @@
     successor : str
         Member that may acquire a released shard without a wait; empty if none is named.
     uncertain : bool
-        Whether an earlier owner may still have authority. This is so if it did not know
-        the process that took the shard as a member, and so did not need its promise.
-        The flag passes to later owners until one of them has claimed every worker.
+        Whether an earlier owner may still have authority. An owner that does not know
+        a process as a member needs no promise of it, and so keeps its authority when
+        that process takes the shard. The flag passes to later owners until one of them
+        has claimed every worker.
     """
 
     owner: str
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -35,7 +35,8 @@
         # Job that stands for the replicas of a service while batch work is preempted
         # for them; it holds the capacity that becomes free.
         self._making_room: dict[str, Job] = {}
-        self._last_hold = 0
+        # Task number of the last hold in such a job; each hold gets a new number.
+        self._last_hold_number = 0
         self._groups: t.Mapping[str, VmGroupSpec] = {}
         self._policy = Policy()
         self._sizes: dict[str, _Sizes] = {}
@@ -153,9 +154,9 @@
         job = self._making_room.setdefault(
             spec.name, Job(_work_of(spec), "", now, deque())
         )
-        self._last_hold += 1
+        self._last_hold_number += 1
         return self._preemptor.make_room(
-            now, job, self._last_hold, spec.need, checkpoint_only=True
+            now, job, self._last_hold_number, spec.need, checkpoint_only=True
         )
 
     def _start(self, now: float, pool: ReplicaPool) -> bool:
--- a/src/poplaryard/resources.py
+++ b/src/poplaryard/resources.py
@@ -6,7 +6,7 @@
 __all__ = ["ZERO", "Resources"]
 
 # Result of `fit_count` for an empty amount, which fits any number of times.
-MANY = 1_000_000
+EMPTY_FIT_COUNT = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,14 +56,19 @@
     def fit_count(self, free: "Resources") -> int:
         """Return how many times this amount fits in `free`.
 
-        An empty amount fits `MANY` times.
+        An empty amount fits `EMPTY_FIT_COUNT` times.
         """
         pairs = (
             (self.cpu_m, free.cpu_m),
             (self.mem_mb, free.mem_mb),
             (self.gpus, free.gpus),
         )
-        return max(0, min((left // part for part, left in pairs if part), default=MANY))
+        return max(
+            0,
+            min(
+                (left // part for part, left in pairs if part), default=EMPTY_FIT_COUNT
+            ),
+        )
 
     def maximum(self, other: "Resources") -> "Resources":
         """Return the element-wise maximum of both amounts."""
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -221,7 +221,7 @@
         self._send(now, job, answer)
 
     def give_up(self, now: float, job: Job, code: Code) -> None:
-        """Answer a job with a code that does not say that it has not run."""
+        """Answer a job with a code that is also valid if an attempt has run."""
         self._end_job(now, job, code)
 
     def queue_stops(self, job: Job) -> None:
--- a/src/poplaryard/takeover.py
+++ b/src/poplaryard/takeover.py
@@ -41,8 +41,9 @@
     workers : iterable of str
         Names of the shard's VMs.
     known : bool
-        Whether the old owner knew this process as a member, so that its authority had
-        ended at `now`. False if this process joined later.
+        Whether the old owner knew this process as a member. If so, the authority of the
+        owner depended on a promise of this process and had ended at `now`. False if
+        this process joined later.
     first : bool
         Whether the shard never had an owner.
     handed_over : bool
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -32,7 +32,7 @@
         out = [self.ejector.weight(1.0, f"vm{n}") == 0.0 for n in range(4)]
         self.assertEqual(2, sum(out))
 
-    def test_forgotten_vm_frees_its_place(self):
+    def test_removed_vm_no_longer_counts_as_ejected(self):
         """Guards against removed VMs that still count as ejected."""
         self.fail("vm0")
         self.fail("vm1")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -39,7 +39,7 @@
 
     Attributes
     ----------
-    cut : set of str
+    isolated : set of str
         Processes that reach neither the store nor their peers.
     dead : set of str
         Processes that have ended; connections to them are refused.
@@ -53,7 +53,7 @@
         self.now = 0.0
         self.store_up = True
         self.lose_write_reply = False
-        self.cut = set()
+        self.isolated = set()
         self.dead = set()
         self.version = 0
         self.record = Record()
@@ -81,7 +81,7 @@
             self.deliver(out.to, out)
         elif type(out) in STORE_CALLS:
             self.calls += 1
-            if self.store_up and name not in self.cut:
+            if self.store_up and name not in self.isolated:
                 STORE_CALLS[type(out)](self, name, out)
             else:
                 self.deliver(name, STORE_DOWN[type(out)])
@@ -89,7 +89,7 @@
     def heartbeat(self, name, out):
         if out.to in self.dead:
             self.deliver(name, ProvenDead(out.to))
-        elif {out.to, name} & self.cut:
+        elif {out.to, name} & self.isolated:
             self.deliver(name, PeerMissed(out.to))
         else:
             self.deliver(out.to, out.heartbeat)
@@ -125,7 +125,7 @@
             self.deliver(name, RecordUnknown())
             return
         self.deliver(name, RecordWritten(self.version))
-        for other in set(self.members) - self.dead - self.cut:
+        for other in set(self.members) - self.dead - self.isolated:
             self.read(other, None)
 
     def run(self, seconds):
@@ -187,12 +187,12 @@
         self.assertGreater(notice.until, group.now)
         self.assertEqual("promised", group.members[owner].state)
 
-    def test_owner_cut_off_alone_loses_exclusive_work_before_the_lease_ends(self):
+    def test_isolated_owner_loses_exclusive_work_before_the_lease_ends(self):
         """Guards against two owners that both run exclusive work."""
         group = Group("a#1", "b#1", "c#1")
         group.run(15)
         owner = group.owners()["dc1/0"]
-        group.cut.add(owner)
+        group.isolated.add(owner)
         group.run(7)
         self.assertFalse(group.last_authority(owner, "dc1/0").exclusive)
         group.run(3)
@@ -238,7 +238,7 @@
         """Guards against an owner before the last one that still has authority."""
         group = Group("a#1", shards=("dc1/0",))
         group.run(5)
-        group.cut.add("a#1")
+        group.isolated.add("a#1")
         group.run(1)
         group.add("b#1", ("dc1/0",))
         group.run(20)
@@ -342,7 +342,7 @@
         owner = group.owners()["dc1/0"]
         other = "b#1" if owner == "a#1" else "a#1"
         group.dead.add(other)
-        group.cut.add(owner)
+        group.isolated.add(owner)
         group.run(0.5)
         group.add("b#2")
         group.run(25)
--- a/tests/test_services.py
+++ b/tests/test_services.py
@@ -72,7 +72,7 @@
 
 
 def test_growing_service_preempts_work_that_can_be_checkpointed():
-    """Guards against a demand peak that waits behind batch work in a full cell."""
+    """Guards against a demand peak that waits behind batch work on full VMs."""
     config = configuration(vms=1, replicas=1, policy=Policy(short_s=1e9))
     shard = Shard(config)
     shard.send(batch("b1", need=Resources(8000, 1024, 0), checkpointable=True))
@@ -108,7 +108,7 @@
 
 
 def test_leaving_vm_gets_no_request_after_two_seconds_without_a_successor():
-    """Guards against sending work to a leaving VM because the cell is full (P6)."""
+    """Guards against sending work to a leaving VM because all others are full (P6)."""
     config = configuration(vms=1, replicas=1)
     shard = Shard(config)
     shard.send(VmUpdate(config.vms("dc1")[0], True))
