--- a/tests/fake_store.py
+++ b/tests/fake_store.py
@@ -1,4 +1,4 @@
-"""In-memory store with the faults that the platform's store shows."""
+"""In-memory store that injects the faults of the platform's store."""
 
 import asyncio
 import itertools
@@ -38,10 +38,11 @@
 
 
 class FakeStore:
-    """Store protocol in memory.
+    """Store in memory, with faults set by tests.
 
     ``faults`` maps (method, key prefix) to a list of "down", "lost" (applied, no
-    reply) or "dropped" (not applied, no reply), one used up per matching call.
+    reply) or "dropped" (not applied, no reply); each matching call uses one up.
+    ``hooks`` are awaited with the method and the key before each call takes effect.
     """
 
     def __init__(self, seed=0):
@@ -63,10 +64,10 @@
         self.faults.setdefault((method, prefix), []).extend(faults)
 
     def fail_call(self, position, fault):
-        """Let the call that comes after `position` further calls fail."""
+        """Inject `fault` into the call that comes after `position` further calls."""
         self.call_faults[sum(self.calls.values()) + position] = fault
 
-    async def _before(self, method, key):
+    async def _begin_call(self, method, key):
         fault = self.call_faults.pop(sum(self.calls.values()), None)
         self.calls[method] = self.calls.get(method, 0) + 1
         self.log.append(f"{method} {key}")
@@ -82,25 +83,25 @@
             raise StoreDown()
         if fault == "dropped" or (fault == "lost" and method in _READS):
             raise StoreReplyLost()
-        # Yields so that concurrent filers interleave differently for each seed.
+        # Yields, so that concurrent callers interleave differently for each seed.
         for _ in range(self._rng.randint(1, 4)):
             await asyncio.sleep(0)
         return fault == "lost"
 
     async def get(self, key):
-        await self._before("get", key)
+        await self._begin_call("get", key)
         return self.entries.get(key)
 
     async def scan(self, prefix):
-        await self._before("scan", prefix)
+        await self._begin_call("scan", prefix)
         return [e for k, e in sorted(self.entries.items()) if k.startswith(prefix)]
 
     async def put_if(self, key, value, version, lease=""):
-        lost = await self._before("put_if", key)
-        held = self.entries.get(key)
+        lost = await self._begin_call("put_if", key)
+        current = self.entries.get(key)
         if lease and lease not in self.leases:
             raise StoreConflict()
-        if (0 if held is None else held.version) != version:
+        if (0 if current is None else current.version) != version:
             if lost:
                 raise StoreReplyLost()
             raise StoreConflict()
@@ -111,9 +112,9 @@
         return self.entries[key]
 
     async def delete_if(self, key, version):
-        lost = await self._before("delete_if", key)
-        held = self.entries.get(key)
-        if held is None or held.version != version:
+        lost = await self._begin_call("delete_if", key)
+        current = self.entries.get(key)
+        if current is None or current.version != version:
             raise StoreConflict()
         del self.entries[key]
         self.deleted[key] = next(self._versions)
@@ -122,21 +123,21 @@
             raise StoreReplyLost()
 
     async def grant(self, ttl_s):
-        await self._before("grant", "")
+        await self._begin_call("grant", "")
         lease = f"lease{next(self._leases)}"
         self.leases.add(lease)
         return lease
 
     async def keep_alive(self, lease):
-        await self._before("keep_alive", lease)
+        await self._begin_call("keep_alive", lease)
         return lease in self.leases
 
     async def revoke(self, lease):
-        await self._before("revoke", lease)
+        await self._begin_call("revoke", lease)
         self.leases.discard(lease)
 
     async def watch(self, prefix, after, wait_s):
-        await self._before("watch", prefix)
+        await self._begin_call("watch", prefix)
         async with self._changed:
             try:
                 async with asyncio.timeout(wait_s):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Real processes on free ports, and callers that reconnect with their request ids."""
+"""Real processes on free ports, and callers that retry with their request ids."""
 
 import asyncio
 import json
@@ -18,17 +18,17 @@
 CALLER_KEY = "caller-key-1"
 OPERATOR_KEY = "operator-key-1"
 WORKERS = 4
-# Bounds on waits; a test fails when one is reached, it never passes because of one.
-READY_S = 30.0
-GAP_S = 0.025
-ANSWER_S = 60.0
+# A test fails when it reaches one of the timeouts; it never passes because of one.
+READY_TIMEOUT_S = 30.0
+SUBMIT_INTERVAL_S = 0.025
+ANSWER_TIMEOUT_S = 60.0
 
 _clock = SystemClock()
 _SOURCE = pathlib.Path(__file__).parent.parent / "src"
 
 
 def free_ports(count):
-    """Return ports that were free a moment ago, none of them twice."""
+    """Return distinct ports that are free at the time of the call."""
     sockets = [socket.socket() for _ in range(count)]
     for sock in sockets:
         sock.bind(("127.0.0.1", 0))
@@ -39,7 +39,10 @@
 
 
 class Processes:
-    """A platform, four workers and entry processes of one data centre."""
+    """Stand-ins for the platform and four workers, and entry processes, as processes.
+
+    All belong to one data centre.
+    """
 
     def __init__(self, entries=3, shards=3):
         self.directory = tempfile.TemporaryDirectory()
@@ -51,25 +54,25 @@
         self.running = {}
         self.client = HttpClient(256, CALLER_KEY)
         self.operator = HttpClient(4, OPERATOR_KEY)
-        self._others = []
+        self._standins = []
 
     async def __aenter__(self):
         port = self.platform.rpartition(":")[2]
-        self._others.append(self._spawn("standin", "platform", "--port", port))
+        self._standins.append(self._spawn("standin", "platform", "--port", port))
         worker = self._spawn("standin", "worker", "--count", str(WORKERS), pipe=True)
-        self._others.append(worker)
+        self._standins.append(worker)
         for _ in range(WORKERS):
             name, address = worker.stdout.readline().split()
             self.workers[name] = address
         for index in range(len(self.addresses)):
             self.start(index)
-        await self.until_listening(0)
+        await self.wait_until_listening(0)
         await self.file(self.first_ticket())
-        await self.until_owned()
+        await self.wait_until_owned()
         return self
 
     async def __aexit__(self, *exc_info):
-        for process in [*self.running.values(), *self._others]:
+        for process in [*self.running.values(), *self._standins]:
             process.kill()
             process.wait()
         await self.client.close()
@@ -87,22 +90,22 @@
         os.kill(self.running[index].pid, number)
 
     def kill(self, index):
-        """End an entry process without notice."""
+        """Kill an entry process."""
         process = self.running.pop(index)
         process.kill()
         process.wait()
 
     async def replace(self, indexes):
-        """Stop entry processes gracefully, start new ones and wait for them."""
+        """Stop entry processes gracefully and start new ones; return the exit codes."""
         for index in indexes:
             self.signal(index, signal.SIGTERM)
         codes = []
         for index in indexes:
             process = self.running.pop(index)
-            codes.append(await asyncio.to_thread(process.wait, READY_S))
+            codes.append(await asyncio.to_thread(process.wait, READY_TIMEOUT_S))
         for index in indexes:
             self.start(index)
-        await self.until_owned()
+        await self.wait_until_owned()
         return codes
 
     async def file(self, ticket, index=0):
@@ -127,14 +130,14 @@
         ]
         return {"format": 1, "uid": "first", "author": "ops", "objects": objects}
 
-    async def until_listening(self, index):
+    async def wait_until_listening(self, index):
         """Wait until an entry process answers."""
         url = f"http://{self.addresses[index]}/healthz"
-        await self._until(lambda: self._get(url))
+        await self._wait_for(lambda: self._get(url))
 
-    async def until_owned(self):
+    async def wait_until_owned(self):
         """Wait until all entry processes are ready and all shards have owners."""
-        await self._until(self._owned)
+        await self._wait_for(self._all_owned)
 
     async def shards_of(self, index):
         """Return the shards of an entry process; None if it is not ready."""
@@ -153,16 +156,16 @@
         return (pathlib.Path(self.directory.name) / "log").read_text()
 
     async def fault(self, address, **fault):
-        """Set faults of a stand-in."""
+        """Set the faults of the stand-in at `address`."""
         await self.client.post(f"http://{address}/standin/fault", fault, 5.0)
 
     async def records(self):
-        """Return what ran on the workers, and the number of refused overfillings."""
+        """Return the workers' run records and how many starts exceeded a capacity."""
         address = next(iter(self.workers.values()))
         found = await self.client.get(f"http://{address}/standin/record", 10.0)
         return found.body["records"], found.body["overcommits"]
 
-    async def _owned(self):
+    async def _all_owned(self):
         found = [await self.shards_of(index) for index in self.running]
         if None in found:
             return False
@@ -174,10 +177,10 @@
         except PoplaryardError:
             return None
 
-    async def _until(self, condition):
-        until = _clock.now() + READY_S
+    async def _wait_for(self, condition):
+        deadline = _clock.now() + READY_TIMEOUT_S
         while not await condition():
-            assert _clock.now() < until, "the processes did not become ready"
+            assert _clock.now() < deadline, "the processes did not become ready"
             await asyncio.sleep(0.05)
 
     def _settings(self, index):
@@ -211,7 +214,7 @@
 
 
 class Callers:
-    """Callers that ask until they have an answer that says what happened."""
+    """Callers that repeat a request until an answer says other than "not run"."""
 
     def __init__(self, processes):
         self.processes = processes
@@ -224,7 +227,7 @@
             "id": f"r{number}",
             "target": "booking",
             "payload": {"run_ms": run_ms, "echo": number},
-            "timeout_s": ANSWER_S,
+            "timeout_s": ANSWER_TIMEOUT_S,
         }
         if number % 3 == 0:
             key = f"pass-{number % 7}"
@@ -233,10 +236,10 @@
         self._tasks.append(asyncio.create_task(self._ask(number, body)))
 
     async def run(self, first, count, run_ms=20):
-        """Start callers one after another."""
+        """Start `count` callers, one every `SUBMIT_INTERVAL_S` seconds."""
         for number in range(first, first + count):
             self.ask(number, run_ms)
-            await asyncio.sleep(GAP_S)
+            await asyncio.sleep(SUBMIT_INTERVAL_S)
 
     async def finish(self):
         """Wait for all callers."""
@@ -244,13 +247,14 @@
 
     async def _ask(self, number, body):
         addresses = self.processes.addresses
-        until = _clock.now() + ANSWER_S
-        turn = number
-        while _clock.now() < until:
-            url = f"http://{addresses[turn % len(addresses)]}/v1/requests"
-            turn += 1
+        deadline = _clock.now() + ANSWER_TIMEOUT_S
+        index = number
+        while _clock.now() < deadline:
+            url = f"http://{addresses[index % len(addresses)]}/v1/requests"
+            index += 1
             try:
-                # Short, so that a caller leaves an entry process that is paused.
+                # A short timeout, so that a caller leaves an entry process that is
+                # paused.
                 reply = await self.processes.client.post(url, body, 10.0)
             except PoplaryardError:
                 await asyncio.sleep(0.1)
@@ -261,8 +265,14 @@
             await asyncio.sleep(0.1)
 
 
-def broken_promises(answers, records, overcommits, expected):
-    """Return what the answers and the workers' records show to be broken."""
+def find_violations(answers, records, overcommits, expected):
+    """Return the violated guarantees, found from the answers and the run records.
+
+    P1: no worker is filled beyond its capacity. P2: work with the same exclusive key
+    does not run in two places at once. P3: every request gets one complete answer.
+    P4: no request that ran is answered "not run". P5: work that is not idempotent runs
+    at most once.
+    """
     found = []
     if overcommits:
         found.append(f"P1: {overcommits} starts would have overfilled a worker")
@@ -279,12 +289,12 @@
         if any(one[1] > other[0] for one, other in overlaps):
             found.append(f"P2: {key} ran in two places at once")
     for number in range(expected):
-        found += _broken(number, answers.get(number), runs.get(f"r{number}", 0))
+        found += _check_answer(number, answers.get(number), runs.get(f"r{number}", 0))
     return found
 
 
-def _broken(number, answer, runs):
-    once = number % 3 == 0
+def _check_answer(number, answer, runs):
+    at_most_once = number % 3 == 0
     if answer is None:
         return [f"P3: {number} has no answer"]
     if answer["code"] == Code.OK:
@@ -295,7 +305,7 @@
         found.append(f"{number} was never served: {answer}")
     else:
         # Only work that may not run twice may end with an unknown outcome.
-        found = [] if once else [f"{number} could have run again: {answer}"]
-    if once and runs > 1:
+        found = [] if at_most_once else [f"{number} could have run again: {answer}"]
+    if at_most_once and runs > 1:
         found.append(f"P5: {number} ran {runs} times")
     return found
--- a/tests/test_api.py
+++ b/tests/test_api.py
@@ -13,7 +13,7 @@
 
 
 class Context:
-    """Application that answers every request at once."""
+    """Stub of the application that answers every request at once."""
 
     body_limit = 1000
     depth_limit = 4
--- a/tests/test_app.py
+++ b/tests/test_app.py
@@ -41,7 +41,7 @@
         return {"id": f"r{number}", "target": "booking", "payload": payload, **fields}
 
     def test_any_entry_serves_finds_and_explains_a_request(self):
-        """Guards against a caller who loses a request with the entry it first asked."""
+        """Guards against a request known only to the entry process that accepted it."""
 
         async def scenario(cell):
             first, second = cell.apps[:2]
@@ -50,8 +50,8 @@
             self.assertEqual(202, accepted.status)
             found = await self.call("GET", second, "/v1/requests/r1")
             self.assertEqual(202, found.status)
-            told = await self.call("GET", second, "/v1/explain/r1")
-            self.assertNotIn("No request", told.body["explanation"])
+            explained = await self.call("GET", second, "/v1/explain/r1")
+            self.assertNotIn("No request", explained.body["explanation"])
             whole = await self.call("GET", second, "/v1/requests/r1/wait")
             self.assertEqual((200, 1), (whole.status, whole.body["parts"][0]["echo"]))
             body["wait"] = True
@@ -63,17 +63,17 @@
         self.run_cell(scenario)
 
     def test_cancellation_from_another_entry(self):
-        """Guards against a job that runs on after its caller has cancelled it."""
+        """Guards against a request that keeps running after it was cancelled."""
 
         async def scenario(cell):
             first, second = cell.apps[:2]
             body = self.body(1, run_ms=60_000, timeout_s=30)
-            ask = asyncio.create_task(cell.post(first, "/v1/requests", body))
+            request = asyncio.create_task(cell.post(first, "/v1/requests", body))
             while not cell.requests_ran():  # noqa: ASYNC110
                 await asyncio.sleep(0.02)
-            gone = await self.call("DELETE", second, "/v1/requests/r1")
-            self.assertEqual(202, gone.status)
-            self.assertEqual(Code.STOPPED, (await ask).body["code"])
+            cancelled = await self.call("DELETE", second, "/v1/requests/r1")
+            self.assertEqual(202, cancelled.status)
+            self.assertEqual(Code.STOPPED, (await request).body["code"])
             unknown = await self.call("DELETE", second, "/v1/requests/r9")
             self.assertEqual(404, unknown.status)
 
@@ -84,11 +84,11 @@
 
         async def scenario(cell):
             bodies = [self.body(n, exclusive_key=f"k{n % 3}") for n in range(24)]
-            asks = (
+            requests = (
                 cell.post(cell.apps[n % 4], "/v1/requests", body)
                 for n, body in enumerate(bodies)
             )
-            replies = await asyncio.gather(*asks)
+            replies = await asyncio.gather(*requests)
             self.assertEqual({200}, {reply.status for reply in replies})
             centres = {}
             for vm in cell.workers():
@@ -101,7 +101,7 @@
         self.run_cell(scenario)
 
     def test_monitoring(self):
-        """Guards against figures that are missing or cannot be parsed."""
+        """Guards against metrics that are missing or cannot be parsed."""
 
         async def scenario(cell):
             app = cell.apps[0]
@@ -118,7 +118,7 @@
         self.run_cell(scenario, ("dc1",))
 
     def test_callers_may_not_post_to_peers_or_operators(self):
-        """Guards against a caller's key that opens other interfaces."""
+        """Guards against a caller's key that gives access to other interfaces."""
 
         async def scenario(cell):
             app = cell.apps[0]
@@ -133,7 +133,7 @@
         self.run_cell(scenario, ("dc1",))
 
     def test_load_generator_counts_whole_answers(self):
-        """Guards against a generator that takes any answer for a good one."""
+        """Guards against a load generator that counts any answer as a success."""
 
         async def scenario(cell):
             targets = [app.address for app in cell.apps]
--- a/tests/test_centres.py
+++ b/tests/test_centres.py
@@ -9,7 +9,7 @@
 
 
 class RemoteOwnersTest(testtools.TestCase):
-    """Views of other data centres; the test is the peer table."""
+    """Cached owners of another data centre, with the test as the peer table."""
 
     def setUp(self):
         super().setUp()
@@ -33,7 +33,7 @@
         return CallResult.DELIVERED
 
     def owner(self):
-        """Ask for the owner of a shard, and again when the calls have ended."""
+        """Return the owner of a shard as known after the calls for it have ended."""
 
         async def run():
             self.owners.owner_of("dc2/0")
@@ -43,7 +43,7 @@
         return asyncio.run(run())
 
     def test_view_is_asked_for_when_needed_and_kept(self):
-        """Guards against calls for each request, and against calls at rest."""
+        """Guards against a call for each request, and calls while no view is used."""
         self.answers["a:2"] = OwnersView("dc2", {"dc2/0": "q#1"}, {"q#1": "a:3"})
         self.assertEqual("q#1", self.owner())
         self.assertEqual(["a:1", "a:2"], self.asked)
@@ -55,8 +55,8 @@
         self.answers["a:3"] = OwnersView("dc2", {"dc2/0": "q#2"}, {})
         self.assertEqual("q#2", self.owner())
 
-    def test_a_cut_off_data_centre_is_told_at_once(self):
-        """Guards against callers who wait for a home that cannot be reached."""
+    def test_unreachable_data_centre_is_reported_at_once(self):
+        """Guards against callers who wait for a home shard that cannot be reached."""
         self.assertIs(Code.HOME_UNREACHABLE, self.owner())
         self.owner()
         self.assertEqual(2, len(self.asked))
@@ -64,8 +64,8 @@
         self.clock.advance(RETRY_S + 0.1)
         self.assertEqual("q#1", self.owner())
 
-    def test_a_silent_owner_is_asked_about_again(self):
-        """Guards against a view kept after its owner has died."""
+    def test_view_is_fetched_again_after_its_owner_is_silent(self):
+        """Guards against a cached owner that is kept after it has failed."""
         self.answers["a:1"] = OwnersView("dc2", {"dc2/0": "q#1"}, {})
         self.owner()
         self.answers["a:1"] = OwnersView("dc2", {}, {})
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -17,7 +17,7 @@
 
 
 class EntryTest(testtools.TestCase):
-    """An entry whose router is the test itself."""
+    """Entry with the test as its router."""
 
     def setUp(self):
         super().setUp()
@@ -49,7 +49,7 @@
 
         return asyncio.run(run())
 
-    def test_answer_is_passed_on_whole(self):
+    def test_first_answer_is_final(self):
         """Guards against a second answer that replaces the first."""
 
         def steps(request):
@@ -59,15 +59,15 @@
         self.assertEqual((1,), self.scenario(steps).parts)
         self.assertEqual(Code.OK, self.entry.answer_of("r1").code)
 
-    def test_not_run_of_the_only_owner_is_true(self):
+    def test_refusal_by_the_only_owner_is_passed_on(self):
         """Guards against "unknown" where the owner knows that nothing ran."""
         found = self.scenario(
             lambda _: self.entry.on_answer("a#1", answer(Code.QUEUE_FULL))
         )
         self.assertEqual(Code.QUEUE_FULL, found.code)
 
-    def test_not_run_is_not_said_while_an_earlier_owner_may_have_run_it(self):
-        """Guards against "not run" for a request that the dead owner had started."""
+    def test_not_run_is_not_reported_if_an_earlier_owner_may_have_run_it(self):
+        """Guards against "not run" for a request that a failed owner had started."""
 
         def steps(request):
             self.owner = "b#1"
@@ -78,8 +78,11 @@
         self.assertEqual(Outcome.UNKNOWN, found.outcome)
         self.assertEqual([("a#1", False), ("b#1", False)], self.sent)
 
-    def test_a_refused_second_send_says_nothing_of_the_first(self):
-        """Guards against "not run" by an owner that ran it before it lost its shard."""
+    def test_refusal_of_a_second_copy_does_not_settle_the_first(self):
+        """Guards against "not run" for a request whose first copy the old owner ran.
+
+        The second copy is refused because the owner has since lost its shard.
+        """
 
         def steps(request):
             self.clock.advance(RESEND_S)
@@ -102,7 +105,7 @@
         self.assertEqual(Outcome.NOT_RUN, found.outcome)
 
     def test_a_refused_connection_is_tried_again(self):
-        """Guards against a caller who gets the fault of one peer."""
+        """Guards against an error for the caller while another owner is available."""
 
         def steps(request):
             self.owner = "b#1"
@@ -112,7 +115,7 @@
         self.assertEqual([("a#1", False), ("b#1", False)], self.sent)
 
     def test_an_unanswered_request_is_sent_again(self):
-        """Guards against an answer lost between owner and entry."""
+        """Guards against a request without an answer because the answer was lost."""
 
         def steps(request):
             self.clock.advance(RESEND_S)
@@ -123,7 +126,7 @@
         self.assertEqual([("a#1", False), ("a#1", True)], self.sent)
 
     def test_deadline_without_an_answer(self):
-        """Guards against a caller who waits for ever, or is told "not run"."""
+        """Guards against a caller who waits forever or is told "not run"."""
 
         def steps(request):
             self.clock.advance(10.0 + ANSWER_GRACE_S)
@@ -132,7 +135,7 @@
         self.assertEqual(Code.UNKNOWN_OUTCOME, self.scenario(steps).code)
 
     def test_same_id_is_sent_once(self):
-        """Guards against a repeated call that runs the request again."""
+        """Guards against a request that runs again because its caller repeats it."""
 
         def steps(request):
             again = self.entry.submit(request, "d")
@@ -155,13 +158,16 @@
         self.scenario(steps)
 
     def test_cancellation(self):
-        """Guards against a cancellation that stays at the entry."""
+        """Guards against a cancellation that is not forwarded to the owner."""
         self.scenario(lambda _: self.assertTrue(self.entry.cancel("r1")))
         self.assertIn(("a#1", "r1"), self.sent)
         self.assertFalse(self.entry.cancel("r9"))
 
     def test_no_answer_is_lost_in_any_order_of_events(self):
-        """Guards against orders of faults in which a request is never answered."""
+        """Guards against orders of faults that leave a request unanswered.
+
+        An answer "not run" is also wrong if an owner may have run the request.
+        """
         for seed in range(200):
             self._random_run(random.Random(seed))
 
@@ -184,7 +190,7 @@
             self.assertEqual(set(), ran)
 
     def _event(self, rng, request, ran):
-        """Let something happen; an owner that takes the request may run it."""
+        """Apply a random event; `ran` collects the owners that may run the request."""
         owner = rng.choice(["a#1", "b#1", ""])
         kind = rng.randrange(4)
         if kind == 0:
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -10,7 +10,10 @@
 
 
 class FinderTest(testtools.TestCase):
-    """The test is the peer table; peers may know the request or not answer."""
+    """Finder with the test as its peer table.
+
+    The peers in `known` know the request, those in `silent` do not answer.
+    """
 
     def setUp(self):
         super().setUp()
@@ -37,20 +40,20 @@
     def explain(self):
         return asyncio.run(self.finder.explain("r1"))
 
-    def test_any_process_may_know(self):
-        """Guards against a request found only by its owner."""
+    def test_any_process_may_know_the_request(self):
+        """Guards against a lookup that fails when only one peer knows the request."""
         self.known.add("b#1")
         self.silent.add("a#1")
         self.assertEqual("It runs.", self.explain())
         self.assertEqual({"a#1", "b#1"}, set(self.calls))
 
     def test_unknown_everywhere(self):
-        """Guards against a wait for a request that nobody knows."""
+        """Guards against more rounds after all peers have said that it is unknown."""
         self.assertIsNone(self.explain())
         self.assertEqual(2, len(self.calls))
 
-    def test_not_found_is_said_only_when_all_have_answered(self):
-        """Guards against 404 for a request whose owner has just died."""
+    def test_not_found_is_reported_only_when_all_have_answered(self):
+        """Guards against 404 for a request whose owner has just failed."""
         for self.silent, self.complete in (({"a#1"}, True), (set(), False)):
             exc = self.assertRaises(CallError, self.explain)
             self.assertIs(Code.PEER_TIMEOUT, exc.code)
--- a/tests/test_ownership_io.py
+++ b/tests/test_ownership_io.py
@@ -44,7 +44,7 @@
 
 
 class OwnershipTaskTest(testtools.TestCase):
-    """Commands are given by the test, which also looks at the messages in return."""
+    """The test issues commands and checks the messages that report their results."""
 
     def setUp(self):
         super().setUp()
@@ -53,7 +53,7 @@
         self.messages = []
 
     def run_commands(self, *commands):
-        """Carry out commands one after another; return what they were answered."""
+        """Execute commands one after another; return the messages that result."""
         asyncio.run(self._commands(commands))
         return self.messages
 
@@ -81,7 +81,7 @@
         return [type(item) for item in self.run_commands(*commands)]
 
     def test_lease(self):
-        """Guards against an authority that the store has not granted."""
+        """Guards against authority based on a lease that the store has not granted."""
         found = self.run_commands(GrantLease(6.0), ReadRecord())
         self.assertEqual(LeaseGranted, type(found[0]))
         lease = found[0].lease
@@ -93,7 +93,7 @@
         self.assertTrue(self.messages[-1].lapsed)
 
     def test_record_is_written_and_read_back(self):
-        """Guards against an assignment that changes on its way through the store."""
+        """Guards against a record that changes when it is stored and read back."""
         record = Record().with_member("p#1", "a:1", "l1").taken("dc1/0", "p#1")
         found = self.run_commands(WriteRecord(record, 0), ReadRecord())
         self.assertEqual(RecordWritten, type(found[0]))
@@ -103,7 +103,7 @@
         self.messages.clear()
         self.assertEqual([RecordConflict], self.kinds(WriteRecord(record, 99)))
 
-    def test_store_faults_are_told_apart(self):
+    def test_store_faults_are_distinguished(self):
         """Guards against a shard taken twice after a reply was lost."""
         write = WriteRecord(Record(), 0)
         self.store.faults[("put_if", "dc/")] = ["lost"]
@@ -116,7 +116,7 @@
         self.assertFalse(self.messages[-1].lapsed)
 
     def test_silent_peers_are_not_dead(self):
-        """Guards against a take-over from a process that only answers slowly."""
+        """Guards against a take-over from a process that is only slow to answer."""
         command = SendHeartbeat("q#1", "a:2", Heartbeat("p#1", "q#1", 1.0))
         expected = {
             CallResult.DELIVERED: [],
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -20,7 +20,7 @@
 
 
 class Peer:
-    """One process with a peer table and a server."""
+    """Process with a peer table and an HTTP server."""
 
     def __init__(self, name, limit=5000, allowed=True):
         self.received = []
@@ -29,11 +29,11 @@
         self.client = HttpClient(key="peer-key-1")
         self.table = PeerTable(name, "", self.client, self.receive, self.fail, limit)
         self.app = new_starlette(peer_routes(self.table, lambda _: allowed))
-        self.server = HttpServer(self.counted, "127.0.0.1", 0)
+        self.server = HttpServer(self.count_call, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self.server.ports[0]}"
         self.table._address = self.address
 
-    async def counted(self, scope, receive, send):
+    async def count_call(self, scope, receive, send):
         self.calls += 1
         await self.app(scope, receive, send)
 
@@ -76,7 +76,7 @@
             for envelope in sent:
                 one.table.send("two#1", envelope)
             await one.table.drain(10.0)
-            # Batches travel on connections of their own and may overtake each other.
+            # Batches use separate connections and may overtake each other.
             received = sorted(two.received, key=lambda pair: int(pair[1].shard[4:]))
             self.assertEqual([("one#1", item) for item in sent], received)
             self.assertLessEqual(two.calls, 2 * 1000 // BATCH_MESSAGES)
@@ -85,7 +85,10 @@
         self.run_with(scenario)
 
     def test_replies_come_back_with_the_call(self):
-        """Guards against promises that are counted from a later time."""
+        """Guards against replies that cannot be matched to the time of the call.
+
+        A promise in the reply to a heartbeat counts from the time it was sent.
+        """
 
         async def scenario(one, two):
             found = await one.table.call("two#1", [Envelope(Cancel("r"))], 5.0)
@@ -95,7 +98,7 @@
         self.run_with(scenario)
 
     def test_a_full_outbox_refuses_at_once(self):
-        """Guards against a slow peer that holds up requests for all others."""
+        """Guards against a slow peer that delays the requests to all others."""
 
         async def scenario(one, two):
             for _ in range(5):
@@ -105,8 +108,8 @@
 
         self.run_with(scenario, limit=3)
 
-    def test_an_ended_process_is_told_from_a_silent_one(self):
-        """Guards against a promise broken because a slow peer was taken for dead."""
+    def test_ended_process_is_distinguished_from_a_silent_one(self):
+        """Guards against a shard taken from a peer that is only slow, not dead."""
 
         async def scenario(one, two):
             one.table.set_address("gone#1", f"127.0.0.1:{free_ports(1)[0]}")
@@ -125,7 +128,7 @@
         self.run_with(scenario)
 
     def test_batches_without_the_key_are_refused(self):
-        """Guards against anyone who can post answers to other callers' requests."""
+        """Guards against answers to callers' requests from anyone without the key."""
 
         async def scenario(one, two):
             one.table.send("two#1", Envelope(Cancel("r")))
@@ -135,7 +138,7 @@
         self.run_with(scenario, allowed=False)
 
     def test_malformed_batches_are_refused(self):
-        """Guards against a bad batch of which one half is taken."""
+        """Guards against a malformed batch of which a part is handled."""
         peer = Peer("one#1")
         good = {"type": "Cancel", "request_id": "r"}
         batch = {"from": "x", "address": "a", "to": "one#1", "messages": [good, {}]}
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -3,14 +3,14 @@
 
 import testtools
 
-from .processes import Callers, Processes, broken_promises
+from .processes import Callers, Processes, find_violations
 
-_BOUND_S = 150.0
+_TIMEOUT_S = 150.0
 
 
 class ProcessesTest(testtools.TestCase):
     def check(self, scenario, **options):
-        found = asyncio.run(asyncio.wait_for(self._run(scenario, options), _BOUND_S))
+        found = asyncio.run(asyncio.wait_for(self._run(scenario, options), _TIMEOUT_S))
         self.assertEqual([], found)
 
     async def _run(self, scenario, options):
@@ -19,7 +19,7 @@
             expected = await scenario(processes, callers)
             await callers.finish()
             records, overcommits = await processes.records()
-            return broken_promises(callers.answers, records, overcommits, expected)
+            return find_violations(callers.answers, records, overcommits, expected)
 
     def test_killed_owner(self):
         """Guards against requests lost with the process that owned their shard."""
@@ -33,7 +33,7 @@
         self.check(scenario)
 
     def test_owner_paused_past_its_lease(self):
-        """Guards against an owner that goes on with shards that it has lost."""
+        """Guards against an owner that continues to serve shards that it has lost."""
 
         async def scenario(processes, callers):
             await callers.run(0, 30)
@@ -61,7 +61,7 @@
         self.check(scenario)
 
     def test_replacement_of_half_at_once(self):
-        """Guards against a hand-over to processes that leave as well."""
+        """Guards against a hand-over to processes that are stopping as well."""
 
         async def scenario(processes, callers):
             load = asyncio.create_task(callers.run(0, 400))
@@ -84,13 +84,13 @@
             self.assertEqual(0, code)
             await processes.fault(processes.platform, outage=False)
             del processes.running[index]
-            await processes.until_owned()
+            await processes.wait_until_owned()
             return 60
 
         self.check(scenario)
 
     def test_second_signal_ends_at_once(self):
-        """Guards against a stop that cannot be cut short, or hides what was left."""
+        """Guards against a stop that cannot be cut short or hides what is lost."""
 
         async def scenario(processes, callers):
             await processes.fault(processes.platform, outage=True)
@@ -109,8 +109,8 @@
 
         self.check(scenario)
 
-    def test_broken_promises_are_seen(self):
-        """Guards against a comparison that finds nothing wrong with anything."""
+    def test_violations_are_reported(self):
+        """Guards against a check that reports no violation whatever happened."""
         once = {"code": 1000, "outcome": "ran", "parts": [{"echo": 0}]}
         other = {"code": 1000, "outcome": "ran", "parts": [{"echo": 9}]}
         denied = {"code": 2001, "outcome": "not_run"}
@@ -121,12 +121,12 @@
             {**times, "request_id": "r2", "exclusive_key": ""},
         ]
         answers = {0: once, 1: other, 2: denied}
-        found = broken_promises(answers, records, 1, 4)
+        found = find_violations(answers, records, 1, 4)
         codes = [text[:2] for text in found if text[0] == "P"]
         self.assertEqual(["P1", "P2", "P5", "P3", "P4", "P3"], codes)
 
     def test_platform_outage(self):
-        """Guards against service that depends on the store."""
+        """Guards against requests that fail while the store is down."""
 
         async def scenario(processes, callers):
             await callers.run(0, 30)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -19,7 +19,7 @@
 
 class RoutingTest(testtools.TestCase):
     def test_home_is_stable_and_moves_only_to_a_new_shard(self):
-        """Guards against keys that change their home without need."""
+        """Guards against a new shard that also moves keys between the old ones."""
         moved = [
             key
             for key in map(str, range(1000))
@@ -32,7 +32,7 @@
         self.assertEqual(home_shard("k", SHARDS), ranked("k", SHARDS)[0])
 
     def test_key_is_needed_for_exclusive_and_non_idempotent_work(self):
-        """Guards against an id that runs in two shards."""
+        """Guards against work that must not run twice being sent to two shards."""
         self.assertEqual("", routing_key(work()))
         self.assertEqual("r1", routing_key(work(idempotent=False)))
         self.assertEqual("k", routing_key(work(exclusive_key="k")))
@@ -51,10 +51,10 @@
             self.assertEqual("free", chosen)
 
     def test_only_work_that_did_not_run_or_may_run_twice_is_retried(self):
-        """Guards against a second charge by a retry at the entry."""
-        charge = work(idempotent=False, deadline=10.0)
-        self.assertTrue(may_retry(charge, Code.NOT_OWNER, 1.0))
-        self.assertFalse(may_retry(charge, Code.PEER_TIMEOUT, 1.0))
-        self.assertFalse(may_retry(charge, Code.NOT_OWNER, 10.0))
+        """Guards against a payment made twice because the entry process retried it."""
+        payment = work(idempotent=False, deadline=10.0)
+        self.assertTrue(may_retry(payment, Code.NOT_OWNER, 1.0))
+        self.assertFalse(may_retry(payment, Code.PEER_TIMEOUT, 1.0))
+        self.assertFalse(may_retry(payment, Code.NOT_OWNER, 10.0))
         self.assertTrue(may_retry(work(), Code.WORKER_LOST, 1.0))
         self.assertFalse(may_retry(work(), Code.CANCELLED, 1.0))
--- a/tests/test_shard_map.py
+++ b/tests/test_shard_map.py
@@ -18,7 +18,7 @@
         self.map.configure(self.config)
 
     def test_work_goes_only_where_a_vm_fits(self):
-        """Guards against requests that wait in a shard without an executor."""
+        """Guards against work that waits in a shard without a VM that could run it."""
         holding = [s for s in self.map.local() if self.map.vms_of(s)]
         self.assertEqual(1, len(holding))
         found = {self.map.shard_for(work(f"r{number}")) for number in range(50)}
@@ -35,7 +35,7 @@
             self.assertAlmostEqual(expected, found[shard], delta=150)
 
     def test_home_of_a_key_does_not_depend_on_vms(self):
-        """Guards against two homes of a key while a ticket comes into force (P2)."""
+        """Guards against two home shards of a key while a ticket is applied (P2)."""
         other = ShardMap("dc1")
         other.configure(configuration(vms=9, policy=self.config.policy))
         for number in range(50):
@@ -43,7 +43,7 @@
             self.assertEqual(self.map.shard_for(keyed), other.shard_for(keyed))
 
     def test_every_vm_has_one_shard(self):
-        """Guards against a VM whose room is given away twice (P1)."""
+        """Guards against a VM whose capacity two shards allocate (P1)."""
         self.map.configure(configuration(vms=40, policy=self.config.policy))
         names = [name for s in self.map.local() for name in self.map.vms_of(s)]
         self.assertEqual((40, 40), (len(names), len(set(names))))
