--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -118,7 +118,7 @@
         self._results.send_stops(now)
         if self._capacity_changed:
             self._capacity_changed = False
-            self._replicas.share_out()
+            self._replicas.update_wanted()
             self._backlog.configure()
         self._replicas.reconcile(now, type(msg) is Tick)
         self._backlog.run(now)
@@ -186,7 +186,7 @@
 
     def _on_leaving(self, now: float, vm: Vm) -> None:
         """Move replicas and checkpoint what can be; the rest finishes."""
-        self._replicas.leaves(now, vm)
+        self._replicas.vm_leaving(now, vm)
         self._backlog.gangs.vm_lost(vm)
         for attempt in self._state.attempts.on_vm(vm):
             work = attempt.work
@@ -197,13 +197,13 @@
 
     def _on_submit(self, now: float, msg: Submit) -> None:
         work, state = msg.work, self._state
-        fresh = work.idempotent or state.may_run_unknown(work.issued_at)
+        fresh = work.idempotent or state.may_run_unreported(work.issued_at)
         found = self._results.ledger.register(
             now,
             msg.wall,
             work,
             attempt=msg.attempt or None,
-            may_run_unknown=fresh,
+            may_run_unreported=fresh,
         )
         if found.answer is not None:
             state.out.append(replace(found.answer, reply_to=msg.reply_to))
@@ -220,7 +220,7 @@
         job = Job(work, msg.reply_to, now, deque(open_tasks))
         job.ran = not state.all_known(now, msg.wall, work)
         state.add_job(job)
-        self._results.take_running(job)
+        self._results.attach_running(job)
         if work.deadline <= now:
             self._results.expire(now)
         elif work.kind is WorkKind.REQUEST and work.target not in state.pools:
