--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -208,6 +208,7 @@
         self.audit_writer = AuditWriter(
             self.store, self.clock, self.audit_log, data_centre, self.process
         )
+        # The first watcher of the store writes the snapshots of the data centre.
         self.upkeep = UpkeepTask(
             self.audit_writer,
             Compactor(self.store, loader),
--- a/src/poplaryard/centres.py
+++ b/src/poplaryard/centres.py
@@ -10,7 +10,7 @@
 from .codes import Code
 from .peers import CallResult, Envelope, PeerTable
 
-__all__ = ["AskOwners", "RemoteOwners", "OwnerNotice", "OwnersView"]
+__all__ = ["AskOwners", "OwnerNotice", "OwnersView", "RemoteOwners"]
 
 # Age at which a view is fetched again; it is refreshed only while it is used.
 FRESH_S = 3.0
@@ -60,6 +60,18 @@
 
 @dataclass(slots=True)
 class _CachedView:
+    """Last view received from a data centre, and the state of the calls for a new one.
+
+    Attributes
+    ----------
+    seen_at, asked_at : float
+        Time of the last view, and of the start of the last round of calls.
+    asking : bool
+        Whether a round of calls is in progress.
+    reachable : bool
+        Whether the last round of calls got a reply.
+    """
+
     owners: t.Mapping[str, str] = field(default_factory=dict)
     addresses: t.Mapping[str, str] = field(default_factory=dict)
     seen_at: float = float("-inf")
--- a/src/poplaryard/context.py
+++ b/src/poplaryard/context.py
@@ -83,7 +83,7 @@
         return watched if known is not None else None
 
     async def cancel(self, request_id: str) -> bool:
-        """Cancel a request; False if it is not known."""
+        """Cancel a request; return False if it is not known."""
         if self._dispatcher.entry.cancel(request_id):
             return True
         known = await self._finder.explain(request_id) is not None
--- a/src/poplaryard/dispatch.py
+++ b/src/poplaryard/dispatch.py
@@ -30,6 +30,7 @@
     Parameters
     ----------
     process, data_centre : str
+        Id of this process and name of its data centre.
     owner_of : callable
         Returns the process id of a shard's owner, or the reason why none is known.
     send : callable
@@ -148,7 +149,7 @@
         return owner if isinstance(owner, Code) else (shard, owner)
 
     def submit(self, process: str, shard: str, msg: Submit, again: bool) -> None:
-        """Send work to an owner; `again` says that it may have received it before."""
+        """Send work to an owner; `again` as in `Router.submit`."""
         self._send(process, Envelope(msg, shard, again))
 
     def cancel(self, process: str, shard: str, msg: Cancel) -> None:
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -70,7 +70,8 @@
         Processes that may have accepted the request and have not answered, with the
         number of copies sent to them.
     sent_at, retry_at : float
-        Time of the last send, and of the next retry if one is scheduled.
+        Time of the last send, 0 to resend at the next check; and of the next retry, 0
+        if none is scheduled.
     last_code : Code
         Reason for the last failure to send the request or to get it accepted.
     """
--- a/src/poplaryard/ownership_io.py
+++ b/src/poplaryard/ownership_io.py
@@ -87,7 +87,7 @@
         self._watch: asyncio.Task[None] | None = None
         self._last_tick = clock.now()
         self._ended_leases: set[str] = set()
-        self.left = asyncio.Event()
+        self._leave_done = asyncio.Event()
 
     def start(self) -> None:
         """Start the task."""
@@ -97,7 +97,7 @@
         """Hand over all shards and end the lease; return False on a timeout."""
         self.handle(Leave())
         try:
-            await asyncio.wait_for(self.left.wait(), timeout_s)
+            await asyncio.wait_for(self._leave_done.wait(), timeout_s)
         except TimeoutError:
             return False
         return True
@@ -203,7 +203,7 @@
         except PoplaryardError:
             return
         finally:
-            self.left.set()
+            self._leave_done.set()
 
     async def _read(self, _: ReadRecord) -> None:
         try:
--- a/src/poplaryard/routing.py
+++ b/src/poplaryard/routing.py
@@ -13,9 +13,9 @@
     "ShardSummary",
     "choose_shard",
     "home_shard",
-    "routing_key",
     "may_retry",
     "ranked",
+    "routing_key",
     "shard_names",
     "shard_of_vm",
 ]
--- a/src/poplaryard/shard_map.py
+++ b/src/poplaryard/shard_map.py
@@ -77,7 +77,7 @@
     def _eligible_shards(self, work: Work) -> list[str]:
         """Return the shard of each VM that fits: those of this data centre, else all.
 
-        A shard is listed once per VM, so that it gets work in proportion to its size.
+        A shard is listed once per VM that fits, so that it gets work in proportion.
         Shards of a data centre with few VMs differ widely in size.
         """
         group, need = work.group, work.need
@@ -94,13 +94,13 @@
 
     def _find_eligible(self, group: str, need: Resources) -> list[str]:
         groups = self.config.vm_groups
-        chosen = [groups[group]] if group in groups else list(groups.values())
+        selected = [groups[group]] if group in groups else list(groups.values())
         fitting = [
-            vm for item in chosen for vm in item.vms if need.fits_in(vm.capacity)
+            vm for item in selected for vm in item.vms if need.fits_in(vm.capacity)
         ]
-        near = [vm for vm in fitting if vm.data_centre == self.data_centre]
-        chosen_vms = sorted(near or fitting, key=lambda vm: vm.name)
-        return [self._shard_of_vm(vm) for vm in chosen_vms]
+        local = [vm for vm in fitting if vm.data_centre == self.data_centre]
+        vms = sorted(local or fitting, key=lambda vm: vm.name)
+        return [self._shard_of_vm(vm) for vm in vms]
 
 
 def _hash_below(text: str, count: int) -> int:
