--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -359,7 +359,7 @@
             deadline = None
             if reachable:
                 deadline = worker.clock_now(sent_at) + self._limits.run_lease_s
-                worker.granted_s = max(worker.granted_s, deadline)
+                worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
             acked = worker.acked_seq
             wait_s = HOLD_WAIT_S if reachable and worker.synced else 0.0
             try:
@@ -426,13 +426,13 @@
         The next owner waits for all workers that are stored.
         """
         partition = t.cast(Partition, self.partition)
-        if self._stored_workers != partition.may_hold_work(self._clock.now()):
+        if self._stored_workers != partition.possible_run_holders(self._clock.now()):
             await self._write_workers(set())
 
     async def _write_workers(self, added: set[str]) -> bool:
         partition = t.cast(Partition, self.partition)
         async with self._workers_lock:
-            workers = partition.may_hold_work(self._clock.now())
+            workers = partition.possible_run_holders(self._clock.now())
             for name in added:
                 suspect = workers.get(name, Suspect())
                 workers[name] = Suspect(suspect.address, suspect.draining)
@@ -486,7 +486,7 @@
         worker = run.worker
         now = self._clock.now()
         deadline = worker.clock_now(now) + START_WINDOW_S
-        worker.granted_s = max(worker.granted_s, deadline)
+        worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
         self._orders_in_flight += 1
         try:
             outcome = await self._calls.start(
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -26,7 +26,7 @@
         self.quotas.add_waiting("b")
         self.assertFalse(self.quotas.allowed("a", Resources(100, 0, 0)))
         self.assertTrue(self.quotas.allowed("b", Resources(100, 0, 0)))
-        self.assertAlmostEqual(0.36, self.quotas.over_share("a"))
+        self.assertAlmostEqual(0.36, self.quotas.excess_share("a"))
 
     def test_team_that_waits_for_another_reason_does_not_stop_borrowing(self):
         """Guards against idle capacity while a team waits for the reserve."""
@@ -35,7 +35,7 @@
         self.assertTrue(self.quotas.allowed("a", Resources(100, 0, 0)))
 
     def test_work_without_a_need_is_not_bounded(self):
-        """Guards against requests of a team whose services hold more than its share."""
+        """Guards against blocked requests of a team whose services exceed its share."""
         self.quotas.charge("a", Resources(950, 0, 0))
         self.quotas.add_waiting("b")
         self.assertTrue(self.quotas.allowed("a", Resources()))
