--- a/src/poplaryard/client.py
+++ b/src/poplaryard/client.py
@@ -1,4 +1,4 @@
-"""HTTP client for calls between processes, JSON in and out."""
+"""HTTP client for JSON calls between processes."""
 
 import asyncio
 import json
@@ -18,8 +18,8 @@
 __all__ = ["HttpClient", "RawReply", "Reply"]
 
 CONNECT_TIMEOUT_S = 1.0
-# Shorter than the servers' keep-alive time, so that no call is sent over a connection
-# that the server is about to close.
+# Idle timeout of a pooled connection in ms. Shorter than the servers' keep-alive time,
+# so that no call is sent over a connection that the server is about to close.
 IDLE_MS = 30_000
 
 
@@ -40,8 +40,8 @@
 class _Connection(Connection):
     """Connection that is closed when a call over it fails or is cancelled.
 
-    aiosonic 1.3.3 returns such a connection to its pool with the response still to
-    come, so that the next call over it would be given the answer to another request.
+    aiosonic 1.3.3 returns such a connection to its pool while the response is still
+    outstanding, so that the next call would receive the response to another request.
     """
 
     def __init__(self, pool: t.Any):
@@ -60,15 +60,15 @@
             raise aiosonic.exceptions.ConnectTimeout from exc
 
     async def _connection_made(self) -> None:
-        # asyncio leaves the Nagle algorithm on for the sockets that aiosonic asks for,
-        # and the second write of a call then waits 40 ms for an acknowledgement.
+        # asyncio leaves Nagle's algorithm on for the sockets that aiosonic opens, and
+        # the second write of a call would wait 40 ms for a delayed acknowledgement.
         writer: t.Any = self.writer
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         await super()._connection_made()
 
     def write(self, data: bytes) -> None:
-        """Send what is written in one step of the loop in one packet."""
+        """Join the writes of one iteration of the event loop in one packet."""
         if not self._unsent:
             asyncio.get_running_loop().call_soon(self._flush)
         self._unsent.append(data)
@@ -89,14 +89,14 @@
 
 
 class HttpClient:
-    """Client that tells a call that was never sent from one whose reply was lost.
+    """HTTP client that distinguishes calls that were not sent from lost replies.
 
     Parameters
     ----------
     connections : int
-        Most connections open at once.
+        Most connections that are open at once.
     key : str
-        Key sent as bearer token; empty for none.
+        API key that is sent as bearer token; empty for none.
     """
 
     def __init__(self, connections: int = 64, key: str = ""):
@@ -117,23 +117,23 @@
         Raises
         ------
         PoplaryardError
-            `Code.PEER_UNREACHABLE` if the call was not sent, `Code.PEER_TIMEOUT` if
-            it may have taken effect.
+            With `Code.PEER_UNREACHABLE` if the call was not sent, and with
+            `Code.PEER_TIMEOUT` if it may have taken effect.
         """
         data = json.dumps(body, separators=(",", ":"), allow_nan=False).encode()
         return await self.request("POST", url, data, timeout_s)
 
     async def get(self, url: str, timeout_s: float) -> Reply:
-        """Fetch a URL; raises as `post` does."""
+        """Send a GET request; raises like `post`."""
         return await self.request("GET", url, None, timeout_s)
 
     async def request(
         self, method: str, url: str, data: bytes | None, timeout_s: float
     ) -> Reply:
-        """Send one request; raises as `post` does."""
+        """Send a request and decode the JSON response; raises like `post`."""
         reply = await self.request_raw(method, url, data, timeout_s)
         try:
-            return Reply(reply.status, _decoded(reply.content))
+            return Reply(reply.status, _decode(reply.content))
         except ValueError as exc:
             detail = f"{url} sent a malformed answer: {exc}"
             raise PoplaryardError(Code.PEER_TIMEOUT, detail) from exc
@@ -146,25 +146,25 @@
         timeout_s: float,
         headers: t.Mapping[str, str] | None = None,
     ) -> RawReply:
-        """Send one request and leave its answer undecoded; raises as `post` does."""
+        """Send a request and return the undecoded response; raises like `post`."""
         timeouts = Timeouts(
-            # Each of these would cost a task per call; `request_timeout` bounds them
-            # all, and `_Connection` bounds the connecting itself.
+            # Each of these timeouts would cost a task per call. `request_timeout`
+            # covers them all, and `_Connection` limits the time to connect.
             sock_connect=None,
             sock_read=None,
             pool_acquire=None,
             request_timeout=timeout_s,
         )
-        sent = {**self._headers, **headers} if headers else self._headers
+        all_headers = {**self._headers, **headers} if headers else self._headers
         try:
             response = await self._client.request(
-                url, method, headers=sent, data=data, timeouts=timeouts
+                url, method, headers=all_headers, data=data, timeouts=timeouts
             )
             return RawReply(response.status_code, await response.content())
         except _NOT_SENT as exc:
             detail = f"{url} cannot be reached: {exc or type(exc).__name__}"
             raise PoplaryardError(Code.PEER_UNREACHABLE, detail) from exc
-        except _LOST as exc:
+        except _REPLY_LOST as exc:
             detail = f"{url} did not answer: {exc or type(exc).__name__}"
             raise PoplaryardError(Code.PEER_TIMEOUT, detail) from exc
 
@@ -179,7 +179,7 @@
     aiosonic.exceptions.ConnectionPoolAcquireTimeout,
     ConnectionRefusedError,
 )
-_LOST = (
+_REPLY_LOST = (
     aiosonic.exceptions.BaseTimeout,
     aiosonic.exceptions.ConnectionDisconnected,
     aiosonic.exceptions.HttpParsingError,
@@ -189,5 +189,5 @@
 )
 
 
-def _decoded(content: bytes) -> t.Any:
+def _decode(content: bytes) -> t.Any:
     return json.loads(content) if content else None
--- a/src/poplaryard/logs.py
+++ b/src/poplaryard/logs.py
@@ -1,4 +1,4 @@
-"""JSON lines on the error stream, with the ids of process, ticket and request."""
+"""Logging as JSON lines, each with the ids of its process, ticket and request."""
 
 import asyncio
 import collections
@@ -26,68 +26,75 @@
 request_id: contextvars.ContextVar[str] = contextvars.ContextVar("request", default="")
 
 _FIELDS = "%(asctime)s %(levelname)s %(message)s"
-_RENAMED = {"asctime": "time", "levelname": "level"}
+_RENAMED_FIELDS = {"asctime": "time", "levelname": "level"}
 
 
-# Lines that wait for a reader, at most; about 1 MB.
+# Most lines that are buffered; about 1 MB.
 MAX_WAITING_LINES = 4000
-# Lines of this long are written together, in seconds: each write wakes the reader.
+# Time for which lines are collected before they are written, in seconds: each write
+# wakes the reader.
 WRITE_EVERY_S = 0.05
-# Lines in one write: readers that take only what a pipe holds cut longer ones.
+# Lines in one write. A longer write may exceed the capacity of a pipe, and some readers
+# would then cut a line in two.
 LINES_PER_WRITE = 16
 
 
 class BackgroundStream:
     """Text stream that never blocks its writers.
 
-    A thread writes the lines. Lines that come while too many wait for a reader are
-    dropped, and a line says how many.
+    A thread writes the lines. While the buffer is full, new lines are dropped; a line
+    with their number is written later.
 
     Parameters
     ----------
     stream : text stream
+    limit : int
+        Most lines that are buffered.
 
     Attributes
     ----------
     dropped : int
-        Lines dropped so far.
+        Number of lines dropped so far.
     """
 
     def __init__(self, stream: t.TextIO, limit: int = MAX_WAITING_LINES):
         self._stream = stream
         self._limit = limit
         self._lines: collections.deque[str] = collections.deque()
-        self._filled = threading.Event()
-        self._reported = 0
+        self._has_lines = threading.Event()
+        self._reported_drops = 0
         self.dropped = 0
         threading.Thread(target=self._run, daemon=True, name="log writer").start()
 
     def write(self, text: str) -> int:
-        """Take a line, or drop it if too many wait."""
+        """Add a line to the buffer, or drop it if the buffer is full."""
         if len(self._lines) >= self._limit:
             self.dropped += 1
         else:
             self._lines.append(text)
-            self._filled.set()
+            self._has_lines.set()
         return len(text)
 
     def flush(self) -> None:
-        """Do nothing: the thread writes."""
+        """Do nothing; the thread writes and flushes."""
 
     def close(self, timeout_s: float = 0.5) -> None:
-        """Wait until the lines are written, for at most `timeout_s` seconds."""
+        """Wait until the buffer is empty, for at most `timeout_s` seconds."""
         end = time.monotonic() + timeout_s
         while self._lines and time.monotonic() < end:
             time.sleep(0.01)
 
     def _run(self) -> None:
         while True:
-            self._filled.wait()
+            self._has_lines.wait()
             time.sleep(WRITE_EVERY_S)
-            self._filled.clear()
+            self._has_lines.clear()
             lines = [self._lines.popleft() for _ in range(len(self._lines))]
-            if self.dropped > self._reported:
-                count, self._reported = self.dropped - self._reported, self.dropped
+            if self.dropped > self._reported_drops:
+                count, self._reported_drops = (
+                    self.dropped - self._reported_drops,
+                    self.dropped,
+                )
                 lines.append(
                     f'{{"level": "WARNING", "message": "log lines dropped", '
                     f'"count": {count}}}\n'
@@ -100,12 +107,12 @@
             self._stream.write("".join(lines))
             self._stream.flush()
         except (OSError, ValueError):
-            # Nobody reads any more; there is nowhere left to report it.
+            # The reader has closed the stream, so the error cannot be logged either.
             self.dropped += len(lines)
 
 
-class _Ids(logging.Filter):
-    """Adds the ids that hold at the time of a record."""
+class _ContextFilter(logging.Filter):
+    """Adds the ids of the process, the ticket in force and the request to records."""
 
     def __init__(self, process: str, ticket: t.Callable[[], int]):
         super().__init__()
@@ -126,24 +133,28 @@
     ticket: t.Callable[[], int] = lambda: 0,
     stream: t.TextIO | BackgroundStream | None = None,
 ) -> None:
-    """Write the package's records as JSON lines.
+    """Log the package's records as JSON lines.
 
     Parameters
     ----------
     process : str
         Process id with its incarnation.
+    level : str
+        Lowest level that is logged, in any case.
     ticket : callable
         Returns the number of the ticket in force.
     stream : text stream, optional
         Standard error by default.
     """
-    formatter = JsonFormatter(_FIELDS, rename_fields=_RENAMED, reserved_attrs=_RESERVED)
+    formatter = JsonFormatter(
+        _FIELDS, rename_fields=_RENAMED_FIELDS, reserved_attrs=_RESERVED_ATTRS
+    )
     formatter.converter = time.gmtime
     formatter.default_time_format = "%Y-%m-%dT%H:%M:%S"
     formatter.default_msec_format = "%s.%03dZ"
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(formatter)
-    handler.addFilter(_Ids(process, ticket))
+    handler.addFilter(_ContextFilter(process, ticket))
     logger.handlers[:] = [handler]
     logger.setLevel(level.upper())
     logger.propagate = False
@@ -151,7 +162,7 @@
 
 @contextlib.contextmanager
 def bind_request_id(value: str) -> t.Iterator[None]:
-    """Give the records of a block the id of a request."""
+    """Set the request id of all records that are logged in the `with` block."""
     token = request_id.set(value)
     try:
         yield
@@ -160,14 +171,17 @@
 
 
 def log_failure(task: "asyncio.Task[t.Any]") -> None:
-    """Log the error that ended a task; a callback for tasks that nobody awaits."""
+    """Log the exception that ended a task.
+
+    This is a done callback for tasks that are not awaited.
+    """
     if not task.cancelled() and task.exception() is not None:
         logger.critical("task ended by an error", exc_info=task.exception())
 
 
-# `process` is left out of the attributes that the formatter drops: ours replaces the
-# operating system's process number.
-_RESERVED = [
+# Attributes that the formatter leaves out. `process` is not among them: the filter
+# replaces the operating system's process id by the process name.
+_RESERVED_ATTRS = [
     name
     for name in logging.LogRecord("", 0, "", 0, "", None, None).__dict__
     if name != "process"
--- a/src/poplaryard/metrics.py
+++ b/src/poplaryard/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a process in the format of Prometheus."""
+"""Metrics of a process in the Prometheus text format."""
 
 import os
 import pathlib
@@ -9,13 +9,13 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-__all__ = ["Metrics", "Reading"]
+__all__ = ["Metrics", "Sample"]
 
 LATENCY_BUCKETS_S = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 30.0]
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
-# Name of each gauge and counter that is read when the metrics are asked for.
-_READ: dict[str, tuple[type[Counter] | type[Gauge], str]] = {
+# Metrics whose values are collected on each request, with their types and help texts.
+_COLLECTED: dict[str, tuple[type[Counter] | type[Gauge], str]] = {
     "poplaryard_open_requests": (Gauge, "Requests of callers without an answer."),
     "poplaryard_ticket_number": (Gauge, "Number of the ticket in force."),
     "poplaryard_ready": (Gauge, "1 if the process takes requests."),
@@ -32,8 +32,8 @@
 }
 
 
-class Reading(t.NamedTuple):
-    """Value of one metric when it is asked for."""
+class Sample(t.NamedTuple):
+    """Value of one metric, collected on request."""
 
     name: str
     value: float
@@ -41,20 +41,20 @@
 
 
 class Metrics:
-    """Registry of one process.
+    """Metrics of one process.
 
     Parameters
     ----------
     read : callable
-        Returns the readings of the moment.
+        Returns the current samples.
     """
 
-    def __init__(self, read: t.Callable[[], t.Iterable[Reading]]):
+    def __init__(self, collect: t.Callable[[], t.Iterable[Sample]]):
         self._registry = Registry()
-        self._read = read
-        self._read_metrics = {
+        self._collect = collect
+        self._collected_metrics = {
             name: kind(name, doc, registry=self._registry)
-            for name, (kind, doc) in _READ.items()
+            for name, (kind, doc) in _COLLECTED.items()
         }
         self._answers = Counter(
             "poplaryard_answers_total",
@@ -69,16 +69,24 @@
         )
 
     def answered(self, code: int, seconds: float) -> None:
-        """Count an answer to a caller."""
+        """Count an answer to a caller.
+
+        Parameters
+        ----------
+        code : int
+            Result code.
+        seconds : float
+            Time from receipt of the request to the answer.
+        """
         self._answers.inc({"code": str(code)})
         self._latency.observe({}, seconds)
 
     def text(self) -> tuple[bytes, dict[str, str]]:
-        """Return all metrics in the text format, and the headers to send with them."""
-        for metric in self._read_metrics.values():
+        """Return the metrics in the text format, and the headers of the response."""
+        for metric in self._collected_metrics.values():
             metric.values.clear()
-        for reading in [*self._read(), *_process_readings()]:
-            self._read_metrics[reading.name].set(reading.labels, reading.value)
+        for sample in [*self._collect(), *_process_samples()]:
+            self._collected_metrics[sample.name].set(sample.labels, sample.value)
         return render(self._registry, [])
 
     def route(self) -> Route:
@@ -91,10 +99,10 @@
         return Route("/metrics", metrics, methods=["GET"])
 
 
-def _process_readings() -> list[Reading]:
+def _process_samples() -> list[Sample]:
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     times = os.times()
     return [
-        Reading("process_resident_memory_bytes", pages * _PAGE_BYTES),
-        Reading("process_cpu_seconds_total", times.user + times.system),
+        Sample("process_resident_memory_bytes", pages * _PAGE_BYTES),
+        Sample("process_cpu_seconds_total", times.user + times.system),
     ]
--- a/src/poplaryard/monitoring.py
+++ b/src/poplaryard/monitoring.py
@@ -1,4 +1,4 @@
-"""Routes for monitoring: health, readiness and metrics."""
+"""HTTP routes for health, readiness and metrics."""
 
 import typing as t
 
@@ -7,20 +7,20 @@
 from starlette.routing import Route
 
 from .dispatch import Dispatcher
-from .metrics import Metrics, Reading
+from .metrics import Metrics, Sample
 
 __all__ = ["Monitor", "MonitorSource"]
 
 
 class MonitorSource(t.Protocol):
-    """What is shown of a process."""
+    """State of a process that is exposed for monitoring."""
 
     process: str
     state: str
     dispatcher: Dispatcher
 
     def ready(self) -> bool:
-        """Tell whether the load balancer may send requests."""
+        """Return whether the load balancer may send requests."""
 
     def counts(self) -> dict[str, float]:
         """Return counters and gauges by metric name."""
@@ -34,7 +34,7 @@
 
     def __init__(self, source: MonitorSource):
         self._source = source
-        self.metrics = Metrics(self._readings)
+        self.metrics = Metrics(self._collect)
 
     def routes(self) -> list[Route]:
         """Return the routes."""
@@ -58,21 +58,21 @@
         }
         return JSONResponse(body, 200 if ready else 503)
 
-    def _readings(self) -> list[Reading]:
+    def _collect(self) -> list[Sample]:
         source = self._source
-        found = [
-            Reading("poplaryard_ready", float(source.ready())),
-            Reading("poplaryard_ticket_number", source.ticket()),
-            Reading("poplaryard_shards_owned", len(source.dispatcher.shards)),
-            Reading("poplaryard_open_requests", source.dispatcher.entry.open_requests),
+        samples = [
+            Sample("poplaryard_ready", float(source.ready())),
+            Sample("poplaryard_ticket_number", source.ticket()),
+            Sample("poplaryard_shards_owned", len(source.dispatcher.shards)),
+            Sample("poplaryard_open_requests", source.dispatcher.entry.open_requests),
         ]
-        found += [Reading(name, value) for name, value in source.counts().items()]
+        samples += [Sample(name, value) for name, value in source.counts().items()]
         for shard, task in source.dispatcher.shards.items():
-            shown = task.scheduler.snapshot()
+            snapshot = task.scheduler.snapshot()
             labels = {"shard": shard}
-            found += [
-                Reading("poplaryard_shard_queued", shown.queued, labels),
-                Reading("poplaryard_shard_attempts", shown.running, labels),
-                Reading("poplaryard_shard_workers", shown.usable, labels),
+            samples += [
+                Sample("poplaryard_shard_queued", snapshot.queued, labels),
+                Sample("poplaryard_shard_attempts", snapshot.running, labels),
+                Sample("poplaryard_shard_workers", snapshot.usable, labels),
             ]
-        return found
+        return samples
--- a/src/poplaryard/server.py
+++ b/src/poplaryard/server.py
@@ -11,29 +11,29 @@
 
 __all__ = ["HttpServer"]
 
-# Longer than the clients' idle time, so that the client closes first.
+# Longer than the idle timeout of `poplaryard.client`, so that clients close first.
 KEEP_ALIVE_S = 75
+# Connections that may wait to be accepted.
 BACKLOG = 1024
 
-
-# Errors of the applications are logged by the applications.
+# The applications log their errors themselves.
 logging.getLogger("uvicorn").addHandler(logging.NullHandler())
 logging.getLogger("uvicorn").propagate = False
 
 
 class _Server(uvicorn.Server):
-    """Server whose process handles signals itself."""
+    """Server that installs no signal handlers; the process has its own."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> t.Iterator[None]:
         yield
 
 
-class _JoinedWrites:
-    """Transport that sends what is written in one step of the loop in one packet.
+class _CoalescingTransport:
+    """Transport that joins the writes of one iteration of the event loop.
 
-    uvicorn writes the headers and the body of a response separately, and each write is
-    a system call.
+    uvicorn writes the headers and the body of a response separately, and each write
+    would be a system call and a packet.
     """
 
     def __init__(self, transport: asyncio.Transport):
@@ -60,14 +60,14 @@
 
 
 class _Protocol(H11Protocol):
-    """HTTP/1.1 over joined writes."""
+    """HTTP/1.1 with coalesced writes."""
 
     def connection_made(self, transport: t.Any) -> None:
-        super().connection_made(t.cast(t.Any, _JoinedWrites(transport)))
+        super().connection_made(t.cast(t.Any, _CoalescingTransport(transport)))
 
 
 class HttpServer:
-    """Serves one ASGI application on one address.
+    """Serves an ASGI application on one or more ports of an IP address.
 
     Parameters
     ----------
@@ -75,16 +75,16 @@
     host : str
         IP address to listen on.
     port : int
-        First port; 0 takes free ones.
+        First port; 0 for free ports.
     count : int
-        Number of ports to listen on.
+        Number of consecutive ports to listen on.
     graceful_s : float
-        Time given to calls in progress when the server stops.
+        Time for requests in progress when the server stops, in seconds.
 
     Attributes
     ----------
     ports : list of int
-        Ports that it listens on.
+        Ports that the server listens on.
     """
 
     def __init__(
@@ -95,8 +95,10 @@
         count: int = 1,
         graceful_s: float = 5.0,
     ):
-        numbers = [port + index if port else 0 for index in range(count)]
-        self._sockets = [_bound(host, number) for number in numbers]
+        port_numbers = [port + index if port else 0 for index in range(count)]
+        self._sockets = [
+            _bind_socket(host, port_number) for port_number in port_numbers
+        ]
         self.ports: list[int] = [sock.getsockname()[1] for sock in self._sockets]
         config = uvicorn.Config(
             app,
@@ -118,7 +120,7 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Serve until `stop`; returns once connections are taken."""
+        """Serve until `stop`; returns when connections are accepted."""
         self._task = asyncio.create_task(self._server.serve(self._sockets))
         while not self._server.started:
             if self._task.done():
@@ -126,15 +128,16 @@
             await asyncio.sleep(0.005)
 
     async def stop(self) -> None:
-        """Take no more connections, finish the requests in progress and return."""
+        """Close the listening sockets and wait for the requests in progress."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
 
 
-def _bound(host: str, port: int) -> socket.socket:
-    # asyncio disables the Nagle algorithm only if the protocol is named; otherwise the
-    # two writes of a response wait 40 ms for a delayed acknowledgement.
+def _bind_socket(host: str, port: int) -> socket.socket:
+    # asyncio disables Nagle's algorithm only for sockets whose protocol is given as
+    # IPPROTO_TCP. Otherwise the second write of a response waits 40 ms for a delayed
+    # acknowledgement.
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind((host, port))
--- a/src/poplaryard/store.py
+++ b/src/poplaryard/store.py
@@ -8,12 +8,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """Value of a key.
+    """Key with its value.
 
     Attributes
     ----------
+    value : object
+        JSON value; None for a deleted key.
     version : int
-        Store-wide number of the write that set the value.
+        Number of the write that set the value; writes are numbered store-wide.
     lease : str
         Lease that the key is bound to; empty if none.
     """
@@ -25,10 +27,10 @@
 
 
 class Store(t.Protocol):
-    """Calls that the platform's store offers; each counts against its rate limits.
+    """Calls of the platform's store; each counts against its rate limits.
 
-    Every method raises `StoreDown` if nothing was written and `StoreReplyLost` if the
-    call may have taken effect.
+    Every method raises `StoreDown` if the call had no effect, and `StoreReplyLost` if
+    it may have taken effect.
     """
 
     async def get(self, key: str) -> Entry | None:
@@ -40,7 +42,13 @@
     async def put_if(
         self, key: str, value: t.Any, version: int, lease: str = ""
     ) -> Entry:
-        """Write if the key's version is `version` (0: absent), else `StoreConflict`."""
+        """Write a value and return its entry; 0 as `version` stands for an absent key.
+
+        Raises
+        ------
+        StoreConflict
+            If the key's version is not `version`.
+        """
 
     async def delete_if(self, key: str, version: int) -> None:
         """Delete if the key's version is `version`, else raise `StoreConflict`."""
@@ -49,14 +57,14 @@
         """Return the id of a new lease."""
 
     async def keep_alive(self, lease: str) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has expired."""
 
     async def revoke(self, lease: str) -> None:
         """End a lease and delete the keys bound to it."""
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> list[Entry]:
-        """Wait for entries under a prefix with a version above `after`.
+        """Wait for entries under a prefix with a version greater than `after`.
 
-        Deleted keys are returned with the value None. Returns an empty list after
-        `wait_s` seconds without a change.
+        Deleted keys are returned with the value None. The result is empty if nothing
+        has changed for `wait_s` seconds.
         """
--- a/src/poplaryard/store_http.py
+++ b/src/poplaryard/store_http.py
@@ -1,4 +1,4 @@
-"""HTTP adapter of the platform's key-value store."""
+"""HTTP client of the platform's key-value store."""
 
 import typing as t
 
@@ -20,12 +20,12 @@
 
 
 class HttpStore:
-    """Calls the platform's store over HTTP; see `poplaryard.store.Store`.
+    """Calls the platform's store over HTTP; implements `poplaryard.store.Store`.
 
     Attributes
     ----------
     calls : int
-        Calls made so far; each counts against the platform's limits.
+        Number of calls so far; each counts against the platform's rate limits.
     """
 
     def __init__(self, client: HttpClient, address: str):
@@ -36,19 +36,22 @@
     async def get(self, key: str) -> Entry | None:
         """Return the entry of a key, or None."""
         found = await self._call("get", {"key": key})
-        return _entry(found["entry"]) if found["entry"] else None
+        return _parse_entry(found["entry"]) if found["entry"] else None
 
     async def scan(self, prefix: str) -> list[Entry]:
         """Return the entries under a prefix, in key order."""
         found = await self._call("scan", {"prefix": prefix})
-        return [_entry(item) for item in found["entries"]]
+        return [_parse_entry(item) for item in found["entries"]]
 
     async def put_if(
         self, key: str, value: t.Any, version: int, lease: str = ""
     ) -> Entry:
-        """Write if the key's version is `version`, else raise `StoreConflict`."""
+        """Write if the key's version is `version` (0 for an absent key).
+
+        Raises `StoreConflict` otherwise.
+        """
         body = {"key": key, "value": value, "version": version, "lease": lease}
-        return _entry((await self._call("put_if", body))["entry"])
+        return _parse_entry((await self._call("put_if", body))["entry"])
 
     async def delete_if(self, key: str, version: int) -> None:
         """Delete if the key's version is `version`, else raise `StoreConflict`."""
@@ -59,7 +62,7 @@
         return str((await self._call("grant", {"ttl_s": ttl_s}))["lease"])
 
     async def keep_alive(self, lease: str) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has expired."""
         return bool((await self._call("keep_alive", {"lease": lease}))["alive"])
 
     async def revoke(self, lease: str) -> None:
@@ -67,10 +70,10 @@
         await self._call("revoke", {"lease": lease})
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> list[Entry]:
-        """Wait for entries under a prefix with a version above `after`."""
+        """Wait for entries under a prefix with a version greater than `after`."""
         body = {"prefix": prefix, "after": after, "wait_s": wait_s}
         found = await self._call("watch", body, wait_s + CALL_TIMEOUT_S)
-        return [_entry(item) for item in found["entries"]]
+        return [_parse_entry(item) for item in found["entries"]]
 
     async def vms(self, data_centre: str) -> list[ListedVm]:
         """Return the platform's list of live and leaving VMs of a data centre."""
@@ -87,10 +90,10 @@
             if exc.code is Code.PEER_UNREACHABLE:
                 raise StoreDown(exc.detail) from exc
             raise StoreReplyLost(exc.detail) from exc
-        return _checked(reply.status, reply.body)
+        return _check(reply.status, reply.body)
 
 
-def _checked(status: int, body: t.Any) -> t.Any:
+def _check(status: int, body: t.Any) -> t.Any:
     if status == 200:
         return body
     if status == _STATUS_CONFLICT:
@@ -100,5 +103,5 @@
     raise StoreReplyLost(f"The store answered with status {status}.")
 
 
-def _entry(found: t.Any) -> Entry:
+def _parse_entry(found: t.Any) -> Entry:
     return Entry(found["key"], found["value"], found["version"], found["lease"])
--- a/src/poplaryard/vmlist.py
+++ b/src/poplaryard/vmlist.py
@@ -1,4 +1,4 @@
-"""Platform's list of live and leaving VMs, which lags behind reality."""
+"""Polling of the platform's list of live and leaving VMs, which may be out of date."""
 
 import asyncio
 import contextlib
@@ -9,67 +9,75 @@
 
 __all__ = ["ListedVm", "VmList", "VmListPoller"]
 
-# P6 allows 3 s from the list to the last placement.
+# Time between two reads of the list, in seconds. Promise P6 allows placements on a
+# leaving VM for 3 s after it was listed as leaving.
 POLL_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class ListedVm:
-    """VM as the platform lists it."""
+    """Entry of the platform's list of VMs."""
 
     name: str
     leaving: bool = False
 
 
 class VmList(t.Protocol):
-    """Call of the platform that lists VMs; counts against its rate limits."""
+    """Platform call that lists VMs; it counts against the platform's rate limits."""
 
     async def vms(self, data_centre: str) -> list[ListedVm]:
-        """Return the VMs of one data centre; raises `StoreDown` if it is down."""
+        """Return the VMs of one data centre.
+
+        Raises
+        ------
+        StoreDown
+            If the platform's store, which serves the list, is down.
+        """
 
 
 class VmListPoller:
-    """Polls the list and tells what has changed.
+    """Polls the list of VMs and reports changes.
 
-    Every process polls, also one that owns no shard: it may take one over, and then has
-    to know when a VM last left.
+    Processes that own no shard poll too: if one takes over a shard, it has to know
+    which VMs have left.
 
     Parameters
     ----------
-    changed : callable
-        Takes the name of a VM and whether it is leaving.
-    gone : callable
-        Takes the name of a VM that was listed before and no longer is.
+    on_change : callable
+        Called with the name of a VM and whether it is leaving, when the VM is new or
+        has changed.
+    on_gone : callable
+        Called with the name of a VM that is no longer listed.
     """
 
     def __init__(
         self,
         source: VmList,
         data_centre: str,
-        changed: t.Callable[[str, bool], None],
-        gone: t.Callable[[str], None],
+        on_change: t.Callable[[str, bool], None],
+        on_gone: t.Callable[[str], None],
     ):
         self._source = source
         self._data_centre = data_centre
-        self._changed = changed
-        self._gone = gone
+        self._on_change = on_change
+        self._on_gone = on_gone
         self._listed: dict[str, ListedVm] = {}
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start the task."""
+        """Start polling."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
-        """End the task."""
+        """Stop polling."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def leaving(self, name: str) -> bool:
-        """Tell whether the last list said that a VM is leaving."""
-        found = self._listed.get(name)
-        return found is not None and found.leaving
+        """Return whether a VM is leaving according to the last list."""
+        vm = self._listed.get(name)
+        return vm is not None and vm.leaving
 
     async def _run(self) -> None:
         while True:
@@ -78,11 +86,11 @@
             await asyncio.sleep(POLL_S)
 
     async def read(self) -> None:
-        """Read the list now; raises `PoplaryardError` if it cannot be read."""
-        found = await self._source.vms(self._data_centre)
-        before, self._listed = self._listed, {vm.name: vm for vm in found}
-        for vm in found:
-            if before.get(vm.name) != vm:
-                self._changed(vm.name, vm.leaving)
-        for name in sorted(before.keys() - self._listed.keys()):
-            self._gone(name)
+        """Read the list once; raises `PoplaryardError` if the platform fails."""
+        vms = await self._source.vms(self._data_centre)
+        previous, self._listed = self._listed, {vm.name: vm for vm in vms}
+        for vm in vms:
+            if previous.get(vm.name) != vm:
+                self._on_change(vm.name, vm.leaving)
+        for name in sorted(previous.keys() - self._listed.keys()):
+            self._on_gone(name)
--- a/src/poplaryard/workers.py
+++ b/src/poplaryard/workers.py
@@ -1,4 +1,4 @@
-"""Interface to worker VMs."""
+"""Interface of the client of worker VMs."""
 
 import typing as t
 from dataclasses import dataclass
@@ -16,17 +16,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """Latest moments, in ms on the worker's clock, at which a poll renews leases.
+    """Times, in ms on the worker's clock, after which a poll renews no leases.
 
-    A poll that is delivered late, after its sender was paused, must not extend a task
-    that a successor has already waited out.
+    A poll may be delivered late because its sender was paused. It must not extend the
+    lease of an attempt whose expiry the next owner has already waited for.
 
     Attributes
     ----------
     valid_until_ms : int
         Limit for all attempts.
     exclusive_until_ms : int
-        Limit for attempts under an exclusive key, if it is earlier.
+        Additional limit for attempts with an exclusive key.
     """
 
     valid_until_ms: int
@@ -34,22 +34,22 @@
 
 
 class Workers(t.Protocol):
-    """Calls that a worker VM offers.
+    """Calls of a worker VM.
 
-    Every method raises `PoplaryardError` with `Code.WORKER_UNREACHABLE` if no answer
-    came, in which case the call may have taken effect.
+    Every method raises `PoplaryardError` with `Code.WORKER_UNREACHABLE` if there is no
+    valid answer; the call may have taken effect then.
     """
 
     async def claim(self, address: str, vm: str, epoch: int) -> ClaimReply:
-        """Claim a worker under an epoch; lower epochs are refused from then on."""
+        """Claim a worker with an epoch; lower epochs are refused afterwards."""
 
     async def start(
         self, address: str, starts: t.Sequence[StartAttempt]
     ) -> list[StartReply]:
-        """Start attempts, each answered with its own code."""
+        """Start attempts; return one reply, with its own code, for each."""
 
     async def stop(self, address: str, stops: t.Sequence[StopAttempt]) -> None:
-        """Stop, drain, checkpoint or throttle attempts."""
+        """Stop, drain, checkpoint or throttle attempts; see `StopMode`."""
 
     async def poll(
         self,
@@ -60,4 +60,17 @@
         wait_s: float,
         renewal: Renewal,
     ) -> tuple[PollReply, int]:
-        """Renew the leases of all attempts and wait for changes after number `seen`."""
+        """Renew the leases of all attempts and wait for a change of their states.
+
+        Parameters
+        ----------
+        seen : int
+            Number that the last poll returned, 0 at first; only later changes count.
+        wait_s : float
+            Longest time to wait for a change, in seconds.
+
+        Returns
+        -------
+        tuple
+            The reply, and the number to pass as `seen` next time.
+        """
--- a/src/poplaryard/workers_http.py
+++ b/src/poplaryard/workers_http.py
@@ -1,4 +1,4 @@
-"""HTTP adapter of the worker interface."""
+"""HTTP client of worker VMs."""
 
 import dataclasses
 import typing as t
@@ -26,13 +26,13 @@
 
 
 class HttpWorkers:
-    """Calls worker VMs over HTTP; see `poplaryard.workers.Workers`."""
+    """Calls worker VMs over HTTP; implements `poplaryard.workers.Workers`."""
 
     def __init__(self, client: HttpClient):
         self._client = client
 
     async def claim(self, address: str, vm: str, epoch: int) -> ClaimReply:
-        """Claim a worker under an epoch."""
+        """Claim a worker with an epoch."""
         body = {"vm": vm, "epoch": epoch}
         found = await self._call(address, "claim", body, CLAIM_TIMEOUT_S)
         return wire.decode_as(ClaimReply, found, _clock.now())
@@ -40,7 +40,7 @@
     async def start(
         self, address: str, starts: t.Sequence[StartAttempt]
     ) -> list[StartReply]:
-        """Start attempts, each answered with its own code."""
+        """Start attempts; return one reply, with its own code, for each."""
         now = _clock.now()
         body = {"starts": [wire.encode(start, now) for start in starts]}
         found = await self._call(address, "start", body, CALL_TIMEOUT_S)
@@ -61,7 +61,7 @@
         wait_s: float,
         renewal: Renewal,
     ) -> tuple[PollReply, int]:
-        """Renew the leases of all attempts and wait for changes after `seen`."""
+        """Renew the leases of all attempts and wait for a change after `seen`."""
         body = {"vm": vm, "epoch": epoch, "seen": seen, "wait_s": wait_s}
         body |= dataclasses.asdict(renewal)
         found = await self._call(address, "poll", body, wait_s + CALL_TIMEOUT_S)
--- a/tests/asgi.py
+++ b/tests/asgi.py
@@ -1,21 +1,21 @@
-"""Calls of an ASGI application without a socket."""
+"""Calls to an ASGI application without a socket."""
 
 import json
 
 
 async def call(app, method, path, body=b"", key="", headers=()):
-    """Return the status and the decoded body of one call."""
+    """Send a request; return the status and the decoded JSON body of the response."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     path, _, query = path.partition("?")
-    found = [(name.encode(), value.encode()) for name, value in headers]
+    header_list = [(name.encode(), value.encode()) for name, value in headers]
     if key:
-        found.append((b"authorization", f"Bearer {key}".encode()))
+        header_list.append((b"authorization", f"Bearer {key}".encode()))
     scope = {
         "type": "http",
         "method": method,
         "path": path,
         "query_string": query.encode(),
-        "headers": found,
+        "headers": header_list,
     }
     sent = []
 
@@ -28,7 +28,7 @@
     try:
         await app(scope, receive, send)
     except Exception:
-        # starlette raises a handler's error again after it has sent the response.
+        # Starlette raises a handler's exception again after it has sent the response.
         if not sent:
             raise
     text = b"".join(msg.get("body", b"") for msg in sent)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -11,7 +11,7 @@
 
 
 async def echo(scope, receive, send):
-    """Answer with the request's body, after as many seconds as it says."""
+    """Return the request's body after the delay `wait_s` that it contains."""
     data = (await receive())["body"]
     await asyncio.sleep(json.loads(data)["wait_s"])
     headers = [(b"content-length", str(len(data)).encode())]
@@ -20,8 +20,8 @@
 
 
 class ClientTest(testtools.TestCase):
-    def test_a_cancelled_call_does_not_answer_the_next_one(self):
-        """Guards against a reused connection that gives one caller another's answer."""
+    def test_response_to_a_cancelled_call_is_not_given_to_the_next(self):
+        """Guards against the reuse of a connection with an outstanding response."""
         asyncio.run(self._cancelled())
 
     async def _cancelled(self):
@@ -38,8 +38,8 @@
         await client.close()
         await server.stop()
 
-    def test_a_refused_connection_was_not_sent(self):
-        """Guards against "unknown" for a call that certainly did not happen."""
+    def test_call_with_a_refused_connection_counts_as_not_sent(self):
+        """Guards against an unknown outcome of a call that had no effect."""
         asyncio.run(self._refused())
 
     async def _refused(self):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,8 +10,8 @@
 
 
 class LogsTest(testtools.TestCase):
-    def test_lines_carry_the_ids(self):
-        """Guards against lines that cannot be tied to a request or a process."""
+    def test_lines_have_the_ids(self):
+        """Guards against log lines that cannot be assigned to a request or process."""
         stream = io.StringIO()
         logs.configure("entry-1#ab", "info", lambda: 4, stream)
         with logs.bind_request_id("r1"):
@@ -25,8 +25,8 @@
         self.assertEqual("ERROR", second["level"])
         self.assertNotIn("request", second)
 
-    def test_the_error_that_ends_a_task_is_written(self):
-        """Guards against a shard that stands still without a trace."""
+    def test_exception_that_ends_a_task_is_logged(self):
+        """Guards against a shard that stops without a log line."""
         stream = io.StringIO()
         logs.configure("p#1", "info", stream=stream)
 
@@ -43,8 +43,8 @@
         self.assertIn("ValueError: fault", json.loads(stream.getvalue())["exc_info"])
 
 
-class StuckStream:
-    """Stream whose reader does not read until it is released."""
+class BlockedStream:
+    """Stream whose writes block until it is released."""
 
     def __init__(self):
         self.released = threading.Event()
@@ -58,19 +58,19 @@
         pass
 
 
-def test_reader_that_stops_reading_does_not_stop_the_process():
-    """Guards against a write to standard output that blocks, and unbounded memory."""
-    stuck = StuckStream()
-    stream = logs.BackgroundStream(stuck, limit=100)
+def test_reader_that_stops_reading_does_not_block_the_process():
+    """Guards against writes that block on a full pipe, and an unbounded buffer."""
+    blocked = BlockedStream()
+    stream = logs.BackgroundStream(blocked, limit=100)
     began = time.monotonic()
     for number in range(1000):
         stream.write(f"{number}\n")
     assert time.monotonic() - began < 0.5
     assert stream.dropped >= 800
-    stuck.released.set()
+    blocked.released.set()
     stream.write("last\n")
     stream.close(2)
     deadline = time.monotonic() + 2
-    while "log lines dropped" not in stuck.text and time.monotonic() < deadline:
+    while "log lines dropped" not in blocked.text and time.monotonic() < deadline:
         time.sleep(0.01)
-    assert "log lines dropped" in stuck.text
+    assert "log lines dropped" in blocked.text
--- a/tests/test_monitoring.py
+++ b/tests/test_monitoring.py
@@ -10,7 +10,7 @@
 
 
 class MonitorTest(testtools.TestCase):
-    """The test is the process that is shown."""
+    """Tests `Monitor`; the test case itself is its `MonitorSource`."""
 
     process, state = "p#1", "running"
 
@@ -35,7 +35,7 @@
         return asyncio.run(call(self.app, "GET", path))
 
     def test_readiness(self):
-        """Guards against a load balancer that sends to a process without tickets."""
+        """Guards against a load balancer that uses a process without a ticket."""
         self.assertEqual(
             (200, 7), (self.get("/readyz")[0], self.get("/readyz")[1]["ticket"])
         )
@@ -44,5 +44,5 @@
         self.assertEqual(200, self.get("/healthz")[0])
 
     def test_unknown_paths_have_a_code(self):
-        """Guards against an error page without a result code."""
+        """Guards against an error response without a result code."""
         self.assertEqual((404, 1109), (self.get("/x")[0], self.get("/x")[1]["code"]))
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -13,8 +13,8 @@
 
 
 class ServerTest(testtools.TestCase):
-    def test_sockets_name_their_protocol(self):
-        """Guards against the Nagle algorithm, which made each answer wait 40 ms."""
+    def test_sockets_have_the_tcp_protocol(self):
+        """Guards against Nagle's algorithm, which delays each response by 40 ms."""
         server = HttpServer(empty, "127.0.0.1", 0, count=3)
         self.assertEqual(3, len(set(server.ports)))
         for sock in server._sockets:
@@ -22,7 +22,7 @@
             sock.close()
 
     def test_start_and_stop(self):
-        """Guards against a stop that waits for connections that do nothing."""
+        """Guards against a stop that waits for idle connections."""
         asyncio.run(asyncio.wait_for(self._start_and_stop(), 10))
 
     async def _start_and_stop(self):
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -9,7 +9,7 @@
     return json.dumps({"time": time, "process": "p1", "message": message, **fields})
 
 
-def test_story_of_a_job_is_told_in_order_of_time(tmp_path):
+def test_events_of_a_job_are_printed_in_order_of_time(tmp_path):
     log = tmp_path / "entry.log"
     log.write_text(
         "\n".join(
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -8,36 +8,36 @@
 
 
 class VmListTest(testtools.TestCase):
-    def test_changes_are_told_once(self):
-        """Guards against VMs taken for gone when the platform does not answer."""
+    def test_changes_are_reported_once(self):
+        """Guards against VMs reported as gone while the platform does not answer."""
         lists = [
             [ListedVm("a"), ListedVm("b")],
             [ListedVm("a"), ListedVm("b", True)],
             StoreDown(),
             [ListedVm("b", True)],
         ]
-        told = []
+        events = []
 
-        class Source:
+        class FakeVmList:
             async def vms(self, data_centre):
-                found = lists.pop(0)
-                if isinstance(found, Exception):
-                    raise found
-                return found
+                result = lists.pop(0)
+                if isinstance(result, Exception):
+                    raise result
+                return result
 
-        task = VmListPoller(
-            Source(),
+        poller = VmListPoller(
+            FakeVmList(),
             "dc1",
-            lambda name, leaving: told.append((name, leaving)),
-            told.append,
+            lambda name, leaving: events.append((name, leaving)),
+            events.append,
         )
 
-        async def polls():
+        async def poll_all():
             while lists:
                 with contextlib.suppress(StoreDown):
-                    await task.read()
+                    await poller.read()
 
-        asyncio.run(polls())
+        asyncio.run(poll_all())
         expected = [("a", False), ("b", False), ("b", True), "a"]
-        self.assertEqual(expected, told)
-        self.assertTrue(task.leaving("b"))
+        self.assertEqual(expected, events)
+        self.assertTrue(poller.leaving("b"))
--- a/tests/test_workers_http.py
+++ b/tests/test_workers_http.py
@@ -16,7 +16,7 @@
 
 
 class WorkersHttpTest(testtools.TestCase):
-    """The adapter and the stand-in over a real socket."""
+    """Tests `HttpWorkers` against the stand-in worker over a real socket."""
 
     def setUp(self):
         super().setUp()
@@ -41,8 +41,8 @@
         request = work(f"r-{attempt}", kind=kind, payload={"echo": 3})
         return StartAttempt("vm2", attempt, 1, valid_until_ms, request, 0, host or "")
 
-    def test_life_of_an_attempt(self):
-        """Guards against an adapter and a stand-in that read a call differently."""
+    def test_lifecycle_of_an_attempt(self):
+        """Guards against a client and a stand-in that interpret a call differently."""
 
         async def scenario(host, workers, address):
             self.assertTrue((await workers.claim(address, "vm2", 1)).accepted)
@@ -59,31 +59,31 @@
 
         self.run_with(scenario)
 
-    def test_faults_by_http(self):
-        """Guards against a lost or late reply that looks like a refusal."""
+    def test_faults_of_the_stand_in(self):
+        """Guards against a lost or late reply that is taken for a refusal."""
 
         async def scenario(host, workers, address):
             url = f"http://{address}/standin/fault"
             for fault in ({"paused": True}, {"paused": False, "drop_replies": 2}):
                 await workers._client.post(url, {"vm": "vm2", **fault}, 5.0)
                 start = workers.start(address, [self.start("e1")])
-                found = await asyncio.gather(start, return_exceptions=True)
-                self.assertIsInstance(found[0], PoplaryardError)
-                self.assertIs(Code.WORKER_UNREACHABLE, found[0].code)
+                results = await asyncio.gather(start, return_exceptions=True)
+                self.assertIsInstance(results[0], PoplaryardError)
+                self.assertIs(Code.WORKER_UNREACHABLE, results[0].code)
             repeated = await workers.start(address, [self.start("e1")])
             self.assertIs(Code.ATTEMPT_REPEATED, repeated[0].code)
-            record = await workers._client.get(f"http://{address}/standin/record", 5.0)
-            self.assertEqual(1, len(record.body["records"]))
+            reply = await workers._client.get(f"http://{address}/standin/record", 5.0)
+            self.assertEqual(1, len(reply.body["records"]))
 
         self.run_with(scenario)
 
     def test_unknown_worker(self):
-        """Guards against a report from another VM at the same address."""
+        """Guards against accepting a reply of another VM at the same address."""
 
         async def scenario(host, workers, address):
-            found = await asyncio.gather(
+            results = await asyncio.gather(
                 workers.claim(address, "vm9", 1), return_exceptions=True
             )
-            self.assertIs(Code.WORKER_UNREACHABLE, found[0].code)
+            self.assertIs(Code.WORKER_UNREACHABLE, results[0].code)
 
         self.run_with(scenario)
