--- a/src/poplaryard/workload/acceptance.py
+++ b/src/poplaryard/workload/acceptance.py
@@ -50,7 +50,7 @@
 
     @property
     def in_doubt(self) -> bool:
-        """Return whether the job may have been stored."""
+        """Whether the job may have been stored."""
         return self.lost_replies > 0
 
     @property
--- a/src/poplaryard/workload/advising.py
+++ b/src/poplaryard/workload/advising.py
@@ -23,16 +23,17 @@
 # Time by which advice is requested early, in addition to the duration of the call, in
 # seconds: the expected ends of runs are estimates.
 ADVICE_AHEAD_S = 0.3
-# Share of a permit's life for which it may wait for the steps before its own to end.
-# Short steps thus have their permits by the time they are ready.
+# Share of a permit's validity for which it may wait for the steps before its own to
+# end. Short steps thus have their permits by the time they are ready.
 PERMIT_SHARE_AHEAD = 0.5
 # Number of gangs that may request advice before any worker has room. Room is only
 # reserved for a gang on workers that it may use, but each such gang delays the calls
 # for other steps.
 GANGS_AHEAD = 6
-# Number of tasks that the workers named in a call should have room for, per waiting
-# task, and the minimum number of workers: as few as a third of them may be permitted.
+# Number of tasks that the workers named in a call should have room for, per unfinished
+# task of the step: as few as a third of the workers may be permitted.
 PLACES_PER_TASK = 4
+# Minimum number of workers in a call, for the same reason.
 LEAST_NAMES = 8
 # Room that runs release within this many seconds is counted in the group's total, which
 # is checked before any single worker.
@@ -86,13 +87,13 @@
             step.ask_after = now + ADVICE_RETRY_S
             return
         for worker_id in request.workers:
-            step.verdicts[worker_id] = worker_id in tickets
+            step.may_run[worker_id] = worker_id in tickets
             if worker_id in tickets:
                 permit = Permit(tickets[worker_id], until - PERMIT_SLACK_S)
                 step.permits[worker_id] = permit
 
     def advice_wanted(
-        self, now: float, fits: t.Callable[[float], bool]
+        self, now: float, can_call: t.Callable[[float], bool]
     ) -> t.Iterator[AdviceRequest]:
         """Yield the calls to make to the advice service now, the most urgent first.
 
@@ -102,7 +103,7 @@
 
         Parameters
         ----------
-        fits : callable
+        can_call : callable
             Returns whether a call that takes this many seconds can be made now.
         """
         rooms = {
@@ -110,29 +111,31 @@
             for worker in self.workers.values()
             if worker.usable(now)
         }
-        left = sum(rooms.values(), ZERO)
+        room_left = sum(rooms.values(), ZERO)
         for worker in rooms:
-            left = left + self._ending_room(worker, FAR_AHEAD_S, now)
+            room_left = room_left + self._ending_room(worker, FAR_AHEAD_S, now)
         gangs = 0
         for step in [*self._waiting, *self._steps_ahead(now)]:
             advice = step.job.spec.advice
             if advice is None:
                 continue
             gangs += step.spec.gang
-            ahead = step.spec.gang and gangs <= GANGS_AHEAD
-            if now < step.ask_after or not (ahead or step.need.fits_in(left)):
+            may_ask_early = step.spec.gang and gangs <= GANGS_AHEAD
+            if now < step.ask_after or not (
+                may_ask_early or step.need.fits_in(room_left)
+            ):
                 continue
-            if not fits(advice.base_s + advice.per_worker_s):
+            if not can_call(advice.base_s + advice.per_worker_s):
                 continue
-            request, claimed = self._advice_for(step, rooms, ahead, now)
-            left = left - claimed
-            if request is None or step.asking or not fits(request.cost_s):
+            request, claimed = self._advice_for(step, rooms, may_ask_early, now)
+            room_left = room_left - claimed
+            if request is None or step.asking or not can_call(request.cost_s):
                 continue
             step.asking = True
             yield request
 
     def _steps_ahead(self, now: float) -> list[StepRun]:
-        """Return the steps that are expected to become ready within a permit's life."""
+        """Return the steps that are expected to be ready within a permit's validity."""
         return [
             step
             for step in self._open_steps.values()
@@ -175,7 +178,11 @@
         return self._ending[key]
 
     def _advice_for(
-        self, step: StepRun, rooms: dict[Worker, Resources], ahead: bool, now: float
+        self,
+        step: StepRun,
+        rooms: dict[Worker, Resources],
+        may_ask_early: bool,
+        now: float,
     ) -> tuple[AdviceRequest | None, Resources]:
         """Return a call for the step if a worker will have room for it, or None.
 
@@ -187,7 +194,7 @@
         rooms : dict of Worker to Resources
             Room on each worker; the room that the step's tasks are expected to take is
             subtracted from it.
-        ahead : bool
+        may_ask_early : bool
             Whether a gang may request advice before any worker has room.
 
         Returns
@@ -203,15 +210,15 @@
         within_s = self._call_s(step) + ADVICE_AHEAD_S
         need = step.need
         for worker, free in rooms.items():
-            verdict = step.verdicts.get(worker.worker_id)
-            if verdict is False or not placing.admits(step, worker):
+            allowed = step.may_run.get(worker.worker_id)
+            if allowed is False or not placing.admits(step, worker):
                 continue
-            reserved = self._reservations.reserved_ahead(step, worker)
+            reserved = self._reservations.reserved_for_others(step, worker)
             room = free - reserved if reserved is not ZERO else free
             permit = step.permits.get(worker.worker_id)
             permitted = permit is not None and permit.until > now
             if not permitted:
-                (approved if verdict else unasked).append(worker)
+                (approved if allowed else unasked).append(worker)
                 if not need.fits_in(room):
                     room = room + self._ending_room(worker, within_s, now)
             if not need.fits_in(room):
@@ -224,7 +231,7 @@
                 claimed = claimed + need
                 rooms[worker] = rooms[worker] - need
         if step.spec.gang:
-            asks_unasked = bool(unasked) and (ahead or has_room)
+            asks_unasked = bool(unasked) and (may_ask_early or has_room)
             wanted = asks_unasked or self._gang_could_start(step, now)
         else:
             wanted = not could_start and has_room
--- a/src/poplaryard/workload/ends.py
+++ b/src/poplaryard/workload/ends.py
@@ -22,7 +22,7 @@
     def _run_ended(self, worker: Worker, ended: EndedRun, now: float) -> None:
         run = worker.runs.get((ended.task, ended.run))
         task = run.task if run is not None else self._tasks.get(ended.task)
-        worker.unadopted.discard((ended.task, ended.run))
+        worker.rejected_runs.discard((ended.task, ended.run))
         if task is None:
             if ended.task.partition(".")[0] not in self.jobs:
                 extra = {"task": ended.task, "worker": worker.worker_id}
@@ -82,6 +82,7 @@
         job.progress.done.setdefault(step.key, []).append(task.index)
         job.progress.run = max(job.progress.run, task.run)
         self._dirty.add(job.spec.job_id)
+        # Stop speculative copies. The runs of a done gang end by themselves.
         for run in list(task.runs):
             if not step.spec.gang:
                 self._stop(run, now)
--- a/src/poplaryard/workload/jobtable.py
+++ b/src/poplaryard/workload/jobtable.py
@@ -17,10 +17,10 @@
 # written to the store, so the earlier owner may have used higher numbers.
 RUN_GAP = 16
 # A job is starved once none of its tasks has run for this many seconds while less than
-# this share of the group's capacity is in use. It then comes first, and may use room
-# that was reserved for too long. Otherwise urgent steps that wait for room or advice
-# would block it. By the users' requirements, a job that gets nothing for three seconds
-# while half of the group is idle counts as lost.
+# this share of the group's capacity is in use. By the users' requirements, a job that
+# gets nothing for three seconds while half of the group is idle counts as lost.
+# Urgent steps that wait for room or advice would block a starved job. It therefore
+# comes first, and may use room that was reserved for too long.
 STARVED_S = 1.5
 IDLE_SHARE = 0.55
 # Replaces the priority of a starved job; comes before the most urgent priority, 0.
@@ -49,7 +49,11 @@
     quarantine_until : float
         Time until which workers that did not report may hold runs of an earlier owner.
     suspects : mapping of str to Suspect
-        Workers that may hold such runs.
+        Workers that may hold runs of an earlier owner.
+    early_s : float
+        Not used.
+    meters : Meters, optional
+        Metrics of the process.
 
     Attributes
     ----------
@@ -84,7 +88,7 @@
         self.progress_urgent = False
         self.accepts_starts = True
         self.sole_owner = True
-        self._start_allowed: set[str] = set()
+        self._startable_workers: set[str] = set()
         self._wall_offset = wall_offset
         self._quarantine_until = quarantine_until
         self._suspects = dict(suspects or {})
@@ -179,13 +183,13 @@
 
     def _open_occurrence(self, job: JobRun, number: int) -> None:
         steps = []
-        base = 0 if job.fresh else job.progress.run + RUN_GAP
+        base_run = 0 if job.fresh else job.progress.run + RUN_GAP
         for index, spec in enumerate(job.spec.steps):
             step = StepRun(job, number, index, spec)
             done = set(job.progress.done.get(step.key, ()))
             for position in range(spec.count):
                 name = f"{step.name}.{position}"
-                task = Task(name, step, position, run=base, done=position in done)
+                task = Task(name, step, position, run=base_run, done=position in done)
                 if name in self._quarantined_tasks:
                     task.not_before = self._quarantine_until
                 step.tasks.append(task)
--- a/src/poplaryard/workload/membership.py
+++ b/src/poplaryard/workload/membership.py
@@ -22,8 +22,8 @@
 AUTHORITY_SLACK_S = 0.2
 # Time for which an owner continues after its lease may have expired, in seconds, unless
 # it learns of another owner. Short outages of the store thus interrupt nothing. It is
-# safe because a new owner fences every worker that it reaches and waits this long for
-# the others.
+# safe because a new owner fences every worker that it reaches, and waits at least this
+# long before it restarts tasks that others may run.
 GRACE_S = 4.0
 
 
@@ -71,7 +71,10 @@
         return bool(self.lease) and self._clock.now() < self._valid_until
 
     def has_authority(self) -> bool:
-        """Return whether an owner may still send orders to workers."""
+        """Return whether an owner may still send orders to workers.
+
+        It may for `GRACE_S` seconds longer than its lease is certainly valid.
+        """
         return bool(self.lease) and self._clock.now() < self._valid_until + GRACE_S
 
     async def run(self) -> None:
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -147,8 +147,8 @@
         Rack that holds the data; tasks on other racks take longer. Empty for no
         preference.
     max_per_worker : int
-        Maximum number of tasks of one occurrence of the step on one worker; 0 for no
-        limit.
+        Maximum number of tasks of the step on one worker, for each occurrence of the
+        job; 0 for no limit.
     speculative : bool
         Whether a second copy of a slow task may be started.
     lasting : bool
@@ -158,7 +158,8 @@
     fills : bool
         Whether tasks only use processor time that other tasks leave idle.
     may_miss : int
-        Number of lasting tasks that the scheduler may keep from running at a time.
+        Maximum number of lasting tasks that the scheduler may keep from running at the
+        same time.
     """
 
     count: int
@@ -306,7 +307,7 @@
 class RunOutcome(enum.StrEnum):
     """How a run ended, as reported by its worker.
 
-    `LAPSED` means that the run's lease expired.
+    The values are defined by the platform. `LAPSED` means that the run's lease expired.
     """
 
     DONE = "done"
@@ -356,7 +357,12 @@
 
 
 class StartOutcome(enum.Enum):
-    """Outcome of an order to start a run."""
+    """Outcome of an order to start a run.
+
+    With `NOT_SENT` the order certainly had no effect. With `IN_DOUBT` the worker may
+    have received it, and may still start the run. The other failures are the worker's
+    reasons to refuse; `FENCED` means that it has seen a later owner's token.
+    """
 
     STARTED = "started"
     FENCED = "fenced"
--- a/src/poplaryard/workload/partition.py
+++ b/src/poplaryard/workload/partition.py
@@ -40,11 +40,11 @@
 COPY_GAIN = 1.3
 # A speculative task is copied if its worker has not reported for this long, in seconds;
 # other tasks wait until their leases have expired. Workers report every second.
-SILENT_S = 1.8
+COPY_SILENT_S = 1.8
 # Maximum number of steps with reserved room: each reservation leaves some room idle.
 MAX_PLANS = 4
 # Maximum number of searches for room to reserve per round: each scans all workers.
-MAX_PLAN_LOOKS = 8
+MAX_PLAN_SEARCHES = 8
 # Time between two searches for stragglers, in seconds.
 COPY_EVERY_S = 0.25
 # Share of a worker's capacity from which a task counts as large.
@@ -53,12 +53,12 @@
 
 def _most_free(workers: t.Iterable[Worker]) -> Resources:
     """Return, for each resource, the largest free amount on any worker."""
-    most = ZERO
+    largest_free = ZERO
     for worker in workers:
         free = worker.free()
-        if not free.fits_in(most):
-            most = most.maximum(free)
-    return most
+        if not free.fits_in(largest_free):
+            largest_free = largest_free.maximum(free)
+    return largest_free
 
 
 def _permitted(
@@ -102,13 +102,13 @@
         self._reservations.clear()
         self._plans.clear()
         self._waiting = self._waiting_steps(now)
-        most = _most_free(usable.values())
-        searches_left = MAX_PLAN_LOOKS
+        largest_free = _most_free(usable.values())
+        searches_left = MAX_PLAN_SEARCHES
         capacities = {worker.info.capacity for worker in self.workers.values()}
         for step in self._waiting:
             orders_before = len(self.orders)
-            if step.need.fits_in(most) and self._start_step(step, usable, now):
-                most = _most_free(usable.values())
+            if step.need.fits_in(largest_free) and self._start_step(step, usable, now):
+                largest_free = _most_free(usable.values())
             elif (
                 searches_left
                 and len(self._plans) < MAX_PLANS
@@ -269,13 +269,13 @@
     def _is_straggler(self, run: Run, now: float) -> bool:
         """Return whether a new run is expected to end well before this one."""
         estimate_s = run.task.step.spec.estimate_s
-        # The percentage dates from the last report, which may be old: a worker reports
-        # when a run ends, and later if this process is busy.
+        # Up to the last report, from which the percentage dates. That may be a while
+        # ago, since workers report when a run ends and this process may be busy.
         elapsed_s = run.seen_at - run.sent_at
         if run.phase is not RunPhase.RUNNING:
             return False
         if not run.worker.reachable:
-            return now - run.worker.clock_at > SILENT_S
+            return now - run.worker.clock_at > COPY_SILENT_S
         if elapsed_s < COPY_AFTER * estimate_s:
             return False
         if run.percent < 1:
@@ -319,7 +319,7 @@
 
     def _expire_runs(self, worker: Worker, now: float) -> None:
         """Drop an unreachable worker's runs if their leases have certainly expired."""
-        lapsed_at = worker.lapsed_at()
+        lapsed_at = worker.leases_expired_at()
         for run in list(worker.runs.values()):
             in_doubt = run.confirmed_at > now
             lost_at = max(lapsed_at, run.expires_at) if in_doubt else lapsed_at
--- a/src/poplaryard/workload/placing.py
+++ b/src/poplaryard/workload/placing.py
@@ -29,19 +29,23 @@
     then the one with the least room left: filling workers up keeps others empty for
     large tasks and gangs. Jobs with a tight objective prefer fast workers, others slow
     ones. Steps that only use idle processor time prefer the worker with the most of it.
-    Steps with lasting tasks or a limit per worker are spread.
+    Steps with lasting tasks or a limit per worker are spread over the workers.
     """
-    remote = bool(step.spec.rack) and worker.info.rack != step.spec.rack
+    other_rack = bool(step.spec.rack) and worker.info.rack != step.spec.rack
     capacity = worker.info.capacity
     if step.spec.fills:
-        return (remote, -free.cpu_m)
+        return (other_rack, -free.cpu_m)
     if step.spec.max_per_worker or step.spec.lasting:
-        return (remote, step.on_worker(worker), -free.cpu_m / max(1, capacity.cpu_m))
+        return (
+            other_rack,
+            step.on_worker(worker),
+            -free.cpu_m / max(1, capacity.cpu_m),
+        )
     speed = round(worker.slowness / SPEED_CLASS)
     if step.job.spec.stretch >= LOOSE_STRETCH:
         speed = -speed
     left_share = (free - step.need).dominant_share(capacity)
-    return (remote, speed, left_share, worker.worker_id)
+    return (other_rack, speed, left_share, worker.worker_id)
 
 
 RoomFor: t.TypeAlias = t.Callable[[StepRun, Worker], Resources]
--- a/src/poplaryard/workload/records.py
+++ b/src/poplaryard/workload/records.py
@@ -44,7 +44,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Scheduler process; `strength` is 1 if it can own any group, and lower if not."""
+    """Scheduler process; `strength` is its capacity to own a group, from 0 to 1."""
 
     process: str
     address: str
@@ -104,7 +104,10 @@
 
 
 def sequence_key(group: str) -> str:
-    """Return the key that every write of a group's owner changes, to order them."""
+    """Return the key that every write of a group's owner expects and changes.
+
+    A write that is carried out late thus fails instead of undoing a newer one.
+    """
     return f"sequence/{group}"
 
 
--- a/src/poplaryard/workload/relay.py
+++ b/src/poplaryard/workload/relay.py
@@ -44,7 +44,17 @@
 
 
 class _Outcome(msgspec.Struct):
-    """Result of a relayed call, or the error, a key of `_ERRORS`."""
+    """Result of a relayed call.
+
+    Attributes
+    ----------
+    error : str
+        Key of `_ERRORS`; empty for none.
+    revision : int
+        Revision, or the lease granted by "grant".
+    flag : bool
+        Whether "commit" wrote, or "renew" renewed.
+    """
 
     error: str = ""
     item: Item | None = None
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -10,21 +10,25 @@
 __all__ = ["WorkerReportHandler"]
 
 
-# Time without an answer after which all tasks that a worker may run are known, in
-# seconds: it is given no new ones.
+# Time without an answer from which a worker counts as unresponsive, in seconds. It is
+# given no new work meanwhile, so all tasks that it may run are known by then.
 SILENT_S = 1.0
 
 
 def _tasks_if_silent(worker: Worker, now: float) -> tuple[str, ...] | None:
     """Return all tasks that a worker may run if it is unresponsive, else None."""
-    known = worker.synced and not worker.unadopted
+    known = worker.synced and not worker.rejected_runs
     if worker.reachable or not known or now <= worker.clock_at + SILENT_S:
         return None
     return tuple(sorted({run.task.name for run in worker.runs.values()}))
 
 
 class WorkerReportHandler(RunEndHandler):
-    """Processes workers' entries and reports; adopts runs and detects lost ones."""
+    """Processes workers' entries and reports, and detects lost runs.
+
+    Runs that an earlier owner of the group started are adopted: this owner continues
+    them if their tasks still have to be run, and orders them to be stopped if not.
+    """
 
     def worker_listed(self, info: WorkerInfo, now: float) -> Worker:
         """Process the entry that a worker wrote to the store, and return the worker."""
@@ -82,7 +86,7 @@
         """Drop all runs of a worker, which certainly no longer exist."""
         for run in list(worker.runs.values()):
             self._run_lost(run, now, reason)
-        worker.unadopted.clear()
+        worker.rejected_runs.clear()
 
     def possible_run_holders(self, now: float) -> dict[str, Suspect]:
         """Return the workers that may hold runs, to be recorded for the next owner."""
@@ -122,13 +126,13 @@
 
     def allow_starts_on(self, worker_ids: set[str]) -> None:
         """Allow starts on these workers, which are recorded for the next owner."""
-        self._start_allowed = worker_ids
+        self._startable_workers = worker_ids
 
     def _usable(self, now: float) -> list[Worker]:
         return [
             worker
             for worker in self.workers.values()
-            if worker.worker_id in self._start_allowed and worker.usable(now)
+            if worker.worker_id in self._startable_workers and worker.usable(now)
         ]
 
     def hold_failed(
@@ -187,7 +191,7 @@
                 worker.seen_seq = ended.seq
                 self._run_ended(worker, ended, now)
         listed = {(running.task, running.run) for running in report.running}
-        worker.unadopted &= listed
+        worker.rejected_runs &= listed
         for running in report.running:
             self._run_reported(worker, running, now)
         for run in list(worker.runs.values()):
@@ -199,7 +203,7 @@
         if run is None:
             run = self._adopt(worker, running, now)
             if run is None:
-                worker.unadopted.add((running.task, running.run))
+                worker.rejected_runs.add((running.task, running.run))
                 stop = StopOrder(worker, running.task, running.run, None)
                 self.orders.append(stop)
                 return
--- a/src/poplaryard/workload/room.py
+++ b/src/poplaryard/workload/room.py
@@ -17,10 +17,10 @@
 
 # Room is reserved only if it is expected to be free within this many seconds: a longer
 # reservation costs more than it gains.
-HOLD_AHEAD_S = 4.0
+RESERVE_AHEAD_S = 4.0
 # Room that has been reserved for more than this many seconds may be used by starved
 # jobs: either the runs there take longer than expected, or the step waits for advice.
-HOLD_MAX_S = 2.5
+RESERVE_MAX_S = 2.5
 
 
 @dataclass(slots=True)
@@ -52,7 +52,7 @@
 
     def reserve(self, step: StepRun, workers: t.Iterable[Worker], now: float) -> None:
         """Reserve room for one task of a step on each of the workers."""
-        if now > step.reserved_until + HOLD_MAX_S:
+        if now > step.reserved_until + RESERVE_MAX_S:
             step.reserved_since = now
         step.reserved_until = now
         for worker in workers:
@@ -60,10 +60,10 @@
 
     def free(self, step: StepRun, worker: Worker) -> Resources:
         """Return the room that a step may use on a worker."""
-        reserved = self.reserved_ahead(step, worker)
+        reserved = self.reserved_for_others(step, worker)
         return worker.free() if reserved is ZERO else worker.free() - reserved
 
-    def reserved_ahead(self, step: StepRun, worker: Worker) -> Resources:
+    def reserved_for_others(self, step: StepRun, worker: Worker) -> Resources:
         """Return the room on a worker that is reserved for more urgent steps."""
         reserved = ZERO
         for holder, amount in self._by_worker.get(worker, ()):
@@ -75,7 +75,7 @@
 
 
 def _reserved_too_long(holder: StepRun) -> bool:
-    return holder.reserved_until - holder.reserved_since > HOLD_MAX_S
+    return holder.reserved_until - holder.reserved_since > RESERVE_MAX_S
 
 
 def plan_room(
@@ -90,7 +90,7 @@
     for worker in workers:
         if worker.gone or worker.info.draining or not worker.synced:
             continue
-        if placing.admits(step, worker) and step.verdicts.get(
+        if placing.admits(step, worker) and step.may_run.get(
             worker.worker_id, step.job.spec.advice is None
         ):
             options += _options(step, worker, reservations, waiting, now)
@@ -100,7 +100,7 @@
         plan.workers += option.workers
         plan.victims += option.victims
         plan.ready_at = max(plan.ready_at, option.ready_at)
-    if len(plan.workers) < waiting or plan.ready_at > now + HOLD_AHEAD_S:
+    if len(plan.workers) < waiting or plan.ready_at > now + RESERVE_AHEAD_S:
         return None
     return plan
 
--- a/src/poplaryard/workload/runtime.py
+++ b/src/poplaryard/workload/runtime.py
@@ -11,9 +11,8 @@
 
 # Fraction by which a worker's monotonic clock may run slow.
 CLOCK_DRIFT = 0.02
-# A job that misses its objective is late. Once this many further objectives have
-# passed, its result is of no use to the caller: by the users' requirements, a job
-# counts if it ends within three objectives in all.
+# Number of further objectives after which the result of a late job is of no use to its
+# caller: the users' requirements accept results within three objectives in all.
 LATE_FACTOR = 2.0
 # Added to the time at which a worker's leases must have expired, in seconds: the worker
 # checks its leases, and reports the ended runs, slightly later.
@@ -77,8 +76,9 @@
         Latest lease deadline that it may have been given, on its own clock.
     used : Resources
         Resources charged for its runs.
-    unadopted : set of tuple
-        Keys of runs that it reported and that this owner ordered it to stop.
+    rejected_runs : set of tuple
+        Keys of runs that it reported, and that this owner did not adopt but ordered it
+        to stop.
     slowness : float
         Logarithm of its run times relative to other workers'.
     paused_until : float
@@ -103,7 +103,7 @@
     latest_deadline_s: float = 0.0
     runs: dict[tuple[str, int], "Run"] = field(default_factory=dict)
     used: Resources = ZERO
-    unadopted: set[tuple[str, int]] = field(default_factory=set)
+    rejected_runs: set[tuple[str, int]] = field(default_factory=set)
     slowness: float = 0.0
     paused_until: float = 0.0
     failed_jobs: list[str] = field(default_factory=list)
@@ -118,10 +118,10 @@
         """Return an estimate of the worker's monotonic clock now, in seconds."""
         return self.clock_s + now - self.clock_at
 
-    def lapsed_at(self) -> float:
+    def leases_expired_at(self) -> float:
         """Return the time by which all leases it may hold have expired, in seconds."""
-        left = max(0.0, self.latest_deadline_s - self.clock_s)
-        return self.clock_at + left / (1 - CLOCK_DRIFT) + LAPSE_SLACK_S
+        remaining_s = max(0.0, self.latest_deadline_s - self.clock_s)
+        return self.clock_at + remaining_s / (1 - CLOCK_DRIFT) + LAPSE_SLACK_S
 
     def usable(self, now: float) -> bool:
         """Return whether tasks may be started on the worker."""
@@ -131,7 +131,7 @@
             and self.listed
             and not self.gone
             and not self.info.draining
-            and not self.unadopted
+            and not self.rejected_runs
             and now >= self.paused_until
         )
 
@@ -167,6 +167,8 @@
         Time at which the worker was first known to run it; infinity until then.
     stop_acked_at : float
         Time at which the worker confirmed a stop; infinity until then.
+    stop_sent_at : float
+        Time of the last order to stop it; minus infinity before.
     expires_at : float
         Time after which an unanswered start can no longer take effect.
     progressed_at : float
@@ -275,7 +277,7 @@
     ----------
     remaining : int
         Number of tasks that are not done.
-    verdicts : dict of str to bool
+    may_run : dict of str to bool
         Whether a worker may run the step, for the workers that the advice service was
         asked about.
     permits : dict of str to Permit
@@ -304,7 +306,7 @@
     spec: StepSpec
     tasks: list[Task] = field(default_factory=list)
     remaining: int = 0
-    verdicts: dict[str, bool] = field(default_factory=dict)
+    may_run: dict[str, bool] = field(default_factory=dict)
     permits: dict[str, Permit] = field(default_factory=dict)
     asking: bool = False
     ask_after: float = 0.0
@@ -357,6 +359,11 @@
         Whether no earlier owner can have started any of its tasks.
     occurrences : dict of int to list of StepRun
         Steps of the occurrences that are due.
+    occurrences_left, next_occurrence : int
+        Number of occurrences that are not done, and index of the next one to become
+        due.
+    started : bool
+        Whether a task of it was ever started.
     due_at : float
         Time by which it should be done, on the owner's clock.
     stored_state : JobState or None
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -22,8 +22,8 @@
 class SimWorker:
     """Worker that follows the platform's protocol in virtual time.
 
-    With ``hang`` its tasks make no progress, with ``fail`` they fail, and with ``cut``
-    it is unreachable. ``slowness`` is a factor on run times.
+    With ``stalled`` its tasks make no progress, with ``failing`` they fail, and with
+    ``unreachable`` it does not answer. ``slowness`` is a factor on run times.
     """
 
     def __init__(self, info):
@@ -32,7 +32,7 @@
         self.ended = []
         self.fence = 0
         self.deadline = 0.0
-        self.hang = self.fail = self.cut = False
+        self.stalled = self.failing = self.unreachable = False
         self.slowness = 1.0
         self._seq = itertools.count(1)
         self.started = []
@@ -53,21 +53,23 @@
         if fence < self.fence:
             return False
         if self.runs.pop(run, None):
-            self._end(run, RunOutcome.STOPPED)
+            self.end_run(run, RunOutcome.STOPPED)
         return True
 
-    def _end(self, run, outcome):
+    def end_run(self, run, outcome):
         self.ended.append(EndedRun(next(self._seq), *run, outcome, ""))
 
     def advance(self, now):
         if self.runs and self.clock(now) > self.deadline:
             for run in list(self.runs):
                 del self.runs[run]
-                self._end(run, RunOutcome.LAPSED)
+                self.end_run(run, RunOutcome.LAPSED)
         for run, (_, ends_at) in list(self.runs.items()):
-            if not self.hang and now >= ends_at:
+            if not self.stalled and now >= ends_at:
                 del self.runs[run]
-                self._end(run, RunOutcome.FAILED if self.fail else RunOutcome.DONE)
+                self.end_run(
+                    run, RunOutcome.FAILED if self.failing else RunOutcome.DONE
+                )
 
     def hold(self, fence, acknowledged, deadline, now):
         if fence < self.fence:
@@ -77,7 +79,7 @@
         self.ended = [end for end in self.ended if end.seq > acknowledged]
         running_runs = []
         for (task, number), (began, ends_at) in self.runs.items():
-            share = 0 if self.hang else (now - began) / max(ends_at - began, 1e-9)
+            share = 0 if self.stalled else (now - began) / max(ends_at - began, 1e-9)
             running_runs.append(RunningRun(task, number, "", int(100 * share)))
         return report(
             self.clock(now),
@@ -96,7 +98,7 @@
 class SimulatedGroup:
     """Partition with simulated workers, driven in virtual time.
 
-    ``good`` holds the workers that advice permits; None stands for all.
+    ``permitted`` holds the workers that advice permits; None stands for all.
     """
 
     def __init__(self, workers=2, fence=7, now=100.0, sims=None, **fields):
@@ -104,7 +106,7 @@
         self.fence = fence
         self.partition = Partition("desk", fence, 1_000_000.0, **fields)
         self.sims = sims or {}
-        self.good = None
+        self.permitted = None
         if not self.sims:
             for number in range(workers):
                 self.add_worker(worker_info(number))
@@ -132,15 +134,15 @@
             sim.advance(self.now)
             worker = self.partition.workers.get(sim.info.worker_id)
             if worker is not None:
-                self._hold(worker, sim)
+                self.renew_leases(worker, sim)
         self.partition.advance(self.now)
-        self._advise()
+        self.advise()
         self.partition.advance(self.now)
-        self._carry_out()
+        self.carry_out_orders()
         self.partition.progress_written(self.partition.take_progress())
 
-    def _hold(self, worker, sim):
-        if sim.cut:
+    def renew_leases(self, worker, sim):
+        if sim.unreachable:
             self.partition.hold_failed(worker, self.now)
             return
         deadline = None
@@ -154,23 +156,29 @@
             return
         self.partition.hold_answered(worker, answer, self.now, self.now)
 
-    def _advise(self):
+    def advise(self):
         while True:
             request = wanted_advice(self.partition, self.now)
             if request is None:
                 return
-            good = [w for w in request.workers if self.good is None or w in self.good]
+            good = [
+                w
+                for w in request.workers
+                if self.permitted is None or w in self.permitted
+            ]
             tickets = dict.fromkeys(good, "t")
             self.partition.advice_answered(request, tickets, self.now + 2.0, self.now)
 
-    def _carry_out(self):
+    def carry_out_orders(self):
         orders, self.partition.orders = self.partition.orders, []
         for order in orders:
             if isinstance(order, StartOrder):
                 self._start(order)
                 continue
             sim = self.sims[order.worker.worker_id]
-            acked = not sim.cut and sim.stop((order.task, order.number), self.fence)
+            acked = not sim.unreachable and sim.stop(
+                (order.task, order.number), self.fence
+            )
             if order.run is not None:
                 self.partition.stop_answered(order.run, acked, self.now)
 
@@ -178,7 +186,7 @@
         run = order.run
         sim = self.sims[run.worker.worker_id]
         outcome = StartOutcome.IN_DOUBT
-        if not sim.cut:
+        if not sim.unreachable:
             deadline = sim.clock(self.now) + 1.6
             estimate_s = run.task.step.spec.estimate_s
             outcome = sim.start(run.key, estimate_s, self.now, self.fence, deadline)
--- a/tests/workload/test_backlog_cost.py
+++ b/tests/workload/test_backlog_cost.py
@@ -19,15 +19,15 @@
 @pytest.fixture
 def checks(monkeypatch):
     """Return a list that grows by the step's name for each check of a worker."""
-    checks = []
+    checked = []
     admits = placing.admits
 
     def counted(step_run, worker):
-        checks.append(step_run.name)
+        checked.append(step_run.name)
         return admits(step_run, worker)
 
     monkeypatch.setattr(placing, "admits", counted)
-    return checks
+    return checked
 
 
 def full_group():
@@ -61,7 +61,7 @@
     group = full_group()
     group.add_worker(worker_info(WORKERS, cpu=4000, address="10.0.2.1:80"))
     group.partition.allow_starts_on(group.partition.possible_run_holders(group.now))
-    group._advise = lambda: None
+    group.advise = lambda: None
     group.step()
     checks.clear()
     calls = list(group.partition.advice_wanted(group.now, lambda cost_s: True))
--- a/tests/workload/test_partition.py
+++ b/tests/workload/test_partition.py
@@ -39,7 +39,7 @@
     """Guards against more attempts than the queue allows."""
     group = SimulatedGroup(workers=4)
     for sim in group.sims.values():
-        sim.fail = True
+        sim.failing = True
     group.submit(job(JOB, step(1), attempts=2))
     group.run(20)
     assert state(group) is JobState.FAILED
@@ -49,7 +49,7 @@
 def test_worker_that_fails_several_jobs_is_ejected():
     """Guards against one bad worker using up the attempts of every job."""
     group = SimulatedGroup(workers=3)
-    group.sims["w0"].fail = True
+    group.sims["w0"].failing = True
     for number in range(12):
         group.submit(job(f"{number:016x}", step(1), attempts=3))
         group.run(0.3)
@@ -67,7 +67,7 @@
     while not group.partition.jobs[JOB].progress.state.final:
         for sim in group.sims.values():
             sim.advance(group.now)
-            group._hold(group.partition.workers[sim.info.worker_id], sim)
+            group.renew_leases(group.partition.workers[sim.info.worker_id], sim)
         group.now += 0.05
     assert state(group) is JobState.RUNNING
     group.partition.progress_written(group.partition.take_progress())
@@ -83,10 +83,10 @@
     sim = group.sims["w0"]
     group.now += 1
     sim.advance(group.now)
-    group._hold(worker, sim)
+    group.renew_leases(worker, sim)
     assert (worker.seen_seq, worker.acked_seq) == (1, 0)
-    notes = group.partition.take_progress()
-    group.partition.progress_not_written(notes)
+    batch = group.partition.take_progress()
+    group.partition.progress_not_written(batch)
     assert worker.acked_seq == 0
     group.partition.progress_written(group.partition.take_progress())
     assert worker.acked_seq == 1
@@ -98,7 +98,7 @@
     group.submit(job(JOB, step(1, estimate_s=30.0)))
     group.run(1)
     first = group.starts()[0][0]
-    group.sims[first].cut = True
+    group.sims[first].unreachable = True
     group.run(5.5)
     assert len(group.starts()) == 1
     group.run(3)
@@ -120,7 +120,7 @@
 def test_stalled_run_moves_to_another_worker():
     """Guards against tasks stuck on a worker that otherwise looks healthy."""
     group = SimulatedGroup(workers=2)
-    group.sims["w0"].hang = True
+    group.sims["w0"].stalled = True
     for number in range(4):
         group.submit(job(f"{number:016x}"))
     group.run(8)
@@ -164,7 +164,7 @@
 
 def test_start_waits_for_advice_and_carries_its_ticket():
     group = SimulatedGroup(workers=3)
-    group.good = {"w1"}
+    group.permitted = {"w1"}
     group.submit(job(JOB, step(3), advice=ADVICE))
     group.run(2)
     assert {worker for worker, _, _ in group.starts()} == {"w1"}
@@ -218,7 +218,7 @@
     old.submit(spec)
     old.run(0.5)
     holder = old.starts()[0][0]
-    old.sims[holder].cut = True
+    old.sims[holder].unreachable = True
     new = SimulatedGroup(
         fence=9,
         now=old.now,
@@ -251,7 +251,7 @@
     sim = group.sims["w0"]
     sim.runs[f"{JOB}.0.0.0", 1] = [0, 0]
     del sim.runs[f"{JOB}.0.0.0", 1]
-    sim._end((f"{JOB}.0.0.0", 1), RunOutcome.FAILED)
+    sim.end_run((f"{JOB}.0.0.0", 1), RunOutcome.FAILED)
     group.submit(job(JOB, attempts=2), fresh=False, progress=progress)
     group.run(3)
     assert state(group) is JobState.DONE
@@ -262,14 +262,14 @@
     group = SimulatedGroup(workers=2)
     group.run(0.2)
     for sim in group.sims.values():
-        sim.cut = True
+        sim.unreachable = True
     group.submit(job())
     group.partition.advance(group.now)
-    group._carry_out()
+    group.carry_out_orders()
     worker = next(w for w in group.partition.workers.values() if w.runs)
     sim = group.sims[worker.worker_id]
     for other in group.sims.values():
-        other.cut = False
+        other.unreachable = False
     # The order arrives after all.
     sim.runs[f"{JOB}.0.0.0", 1] = [group.now, group.now + 1.0]
     sim.deadline = sim.clock(group.now) + 6.0
@@ -316,7 +316,7 @@
     group.submit(job("b" * 16, step(1, cpu=4000, estimate_s=0.6)))
     group.run(0.2)
     [(unreachable, _, _)] = group.starts(f"{'a' * 16}.0.0.0")
-    group.sims[unreachable].cut = True
+    group.sims[unreachable].unreachable = True
     group.run(3.0)
     assert group.partition.jobs["a" * 16].state is JobState.DONE
 
@@ -327,7 +327,7 @@
     group.submit(job(JOB, step(1, estimate_s=30.0)))
     group.run(1)
     holder = group.starts()[0][0]
-    group.sims[holder].cut = True
+    group.sims[holder].unreachable = True
     group.partition.sole_owner = False
     group.run(10)
     assert len(group.starts()) == 1
@@ -344,7 +344,7 @@
     old.submit(spec)
     old.run(0.5)
     holder = old.starts()[0][0]
-    old.sims[holder].cut = True
+    old.sims[holder].unreachable = True
     old.run(1.5)
     suspects = old.partition.possible_run_holders(old.now)
     assert suspects[holder].tasks == (f"{JOB}.0.0.0",)
--- a/tests/workload/test_room.py
+++ b/tests/workload/test_room.py
@@ -94,7 +94,7 @@
     request = wanted_advice(group.partition, group.now)
     tickets = dict.fromkeys(request.workers, "t")
     group.partition.advice_answered(request, tickets, group.now, group.now)
-    group._advise = lambda: None
+    group.advise = lambda: None
     group.run(0.5)
     small_jobs(group, 1)
     group.run(2.5)
@@ -126,7 +126,7 @@
     first = wanted_advice(group.partition, group.now)
     assert first is not None
     group.partition.advice_answered(first, {"w0": "t"}, group.now + 2.0, group.now)
-    group._advise = lambda: None
+    group.advise = lambda: None
     group.run(0.3)
     assert wanted_advice(group.partition, group.now) is None
     group.run(1.7)
@@ -140,7 +140,7 @@
     advice = AdviceCost(base_s=0.3, per_worker_s=0.01, valid_s=2.0)
     group.submit(job("f" * 16, step(1, cpu=3000), advice=advice))
     assert wanted_advice(group.partition, group.now) is None
-    group._advise = lambda: None
+    group.advise = lambda: None
     group.run(1.5)
     assert wanted_advice(group.partition, group.now) is not None
 
