--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -111,7 +111,7 @@
 
     def unfinished_work(self) -> str:
         """Return a text that counts what would be lost if the process ended now."""
-        open_requests = self.dispatcher.entry.open_requests
+        open_requests = self.dispatcher.requests.open_requests
         shards = len(self.dispatcher.shards)
         return f"{open_requests} open requests and {shards} shards"
 
@@ -172,7 +172,7 @@
             self.listed_peers,
             self.peers,
             self.clock,
-            self.dispatcher.entry.owners_changed,
+            self.dispatcher.requests.owners_changed,
         )
         self._create_tasks()
 
@@ -223,7 +223,7 @@
                 if address != self.address:
                     self.peers.set_address(address, address)
         self.exchange.on_record_seen()
-        self.dispatcher.entry.start()
+        self.dispatcher.requests.start()
         self.ownership_task.start()
         self.config_task.start()
         self.vm_list.start()
@@ -235,7 +235,7 @@
         await asyncio.sleep(NOT_READY_S)
         self.state = "draining"
         await self.ownership_task.leave(LEAVE_S)
-        await self.dispatcher.entry.wait_until_answered(deadline - self.clock.now())
+        await self.dispatcher.requests.wait_until_answered(deadline - self.clock.now())
         # Shards that could not be handed over still serve requests of other processes.
         await self.dispatcher.wait_until_idle(deadline - self.clock.now())
         await self.peers.drain(max(0.0, deadline - self.clock.now()))
@@ -247,7 +247,7 @@
         await self.config_task.stop()
         await self.ownership_task.stop()
         await self.remote_owners.stop()
-        await self.dispatcher.entry.stop()
+        await self.dispatcher.requests.stop()
         await self.dispatcher.close()
         await self.peers.close()
 
--- a/src/poplaryard/context.py
+++ b/src/poplaryard/context.py
@@ -63,7 +63,7 @@
 
     def submit(self, work: Work, digest: str) -> "asyncio.Future[Answer] | Answer":
         """Submit a request; return its answer or a future of it."""
-        return self._dispatcher.entry.submit(work, digest)
+        return self._dispatcher.requests.submit(work, digest)
 
     def record_answer(self, answer: Answer, seconds: float) -> None:
         """Record an answer that took `seconds`."""
@@ -74,17 +74,17 @@
 
     async def find(self, request_id: str) -> "asyncio.Future[Answer] | Answer | None":
         """Return a request's answer or a future of it; None if it is not known."""
-        entry = self._dispatcher.entry
-        found = entry.answer_of(request_id) or entry.answer_future(request_id)
+        requests = self._dispatcher.requests
+        found = requests.answer_of(request_id) or requests.answer_future(request_id)
         if found is not None:
             return found
-        watched = entry.watch_answer(request_id)
+        watched = requests.watch_answer(request_id)
         known = await self._finder.explain(request_id, watch=True)
         return watched if known is not None else None
 
     async def cancel(self, request_id: str) -> bool:
         """Cancel a request; return False if it is not known."""
-        if self._dispatcher.entry.cancel(request_id):
+        if self._dispatcher.requests.cancel(request_id):
             return True
         known = await self._finder.explain(request_id) is not None
         if known:
@@ -98,9 +98,9 @@
         known = await self._finder.explain(request_id)
         if known is not None:
             return known
-        answer = self._dispatcher.entry.answer_of(request_id)
+        answer = self._dispatcher.requests.answer_of(request_id)
         if answer is not None:
             return f"The request was answered: {answer.detail or answer.code.meaning}"
-        if self._dispatcher.entry.is_open(request_id):
+        if self._dispatcher.requests.is_open(request_id):
             return "The request waits until its shard has an owner that answers."
         return "No request with this id is known here."
--- a/src/poplaryard/dispatch.py
+++ b/src/poplaryard/dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch of work to shard owners and of messages between entry, shards and peers."""
+"""Dispatch of work to shard owners and of messages to shards, peers and callers."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 from .clock import SystemClock
 from .codes import Code
 from .configuration import Configuration
-from .entry import Entry
+from .entry import RequestTracker
 from .lookup import Lookup, LookupReply
 from .messages import Answer, Authority, Cancel, Message, Submit, Work
 from .ownership_messages import ShardTaken
@@ -58,7 +58,7 @@
         self.process = process
         self.map = ShardMap(data_centre)
         self.shards: dict[str, ShardTask] = {}
-        self.entry = Entry(process, self, requests_limit)
+        self.requests = RequestTracker(process, self, requests_limit)
         self._workers = workers
         self._owner_of = owner_of
         self._send_peer = send
@@ -164,7 +164,7 @@
         """Handle a message from a peer or from this process."""
         msg = envelope.message
         if isinstance(msg, Answer):
-            self.entry.on_answer(sender, msg)
+            self.requests.on_answer(sender, msg)
         elif isinstance(msg, Submit):
             self._receive_submit(envelope, msg)
         elif isinstance(msg, Cancel):
@@ -173,22 +173,22 @@
     def undelivered(self, process: str, envelope: Envelope, code: Code) -> None:
         """Handle a message that did not reach a peer, or may not have."""
         if isinstance(envelope.message, Submit):
-            self.entry.undelivered(process, envelope.message.work, code)
+            self.requests.undelivered(process, envelope.message.work, code)
 
     def look_up(self, question: Lookup) -> list[LookupReply]:
-        """Return what the shards and the entry of this process know of a request."""
+        """Return the state of a request, from the shards and open requests here."""
         request_id, reply_to = question.request_id, question.reply_to
         found = [task.look_up(request_id, reply_to) for task in self.shards.values()]
-        found.append(self._look_up_entry(request_id, reply_to))
+        found.append(self._look_up_open(request_id, reply_to))
         return [LookupReply(request_id, text) for text in found if text is not None]
 
-    def _look_up_entry(self, request_id: str, reply_to: str) -> str | None:
+    def _look_up_open(self, request_id: str, reply_to: str) -> str | None:
         """Return the state of a request open here; None if it is not open.
 
         The process `reply_to` gets the answer when there is one, and no explanation if
         it is this process.
         """
-        fut = self.entry.answer_future(request_id)
+        fut = self.requests.answer_future(request_id)
         if fut is None or reply_to == self.process:
             return None
         if reply_to:
@@ -208,12 +208,12 @@
             self.cancel(process, "", Cancel(request_id))
 
     def _receive_cancel(self, shard: str, msg: Cancel) -> None:
-        """Cancel a request in `shard`; if empty, in all shards and the entry."""
+        """Cancel a request in `shard`; if empty, in all shards and where it is open."""
         if shard:
             tasks = [self.shards[shard]] if shard in self.shards else []
         else:
             tasks = list(self.shards.values())
-            self.entry.cancel(msg.request_id)
+            self.requests.cancel(msg.request_id)
         for task in tasks:
             task.post(msg)
 
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -10,7 +10,7 @@
 from .limits import RetryBudget
 from .messages import Answer, Cancel, Submit, Work
 
-__all__ = ["Entry", "Router"]
+__all__ = ["RequestTracker", "Router"]
 
 _clock = SystemClock()
 
@@ -47,7 +47,7 @@
         """Return the shard for work and its owner, or the reason why there is none."""
 
     def submit(self, process: str, shard: str, msg: Submit, again: bool) -> None:
-        """Send work to an owner; report failures to `Entry.undelivered`.
+        """Send work to an owner; report failures to `RequestTracker.undelivered`.
 
         `again` says that the owner may have received the request before.
         """
@@ -88,7 +88,7 @@
     last_code: Code = Code.NOT_OWNER
 
 
-class Entry:
+class RequestTracker:
     """Sends callers' requests to shard owners and keeps them until they are answered.
 
     Parameters
--- a/src/poplaryard/exchange.py
+++ b/src/poplaryard/exchange.py
@@ -110,7 +110,7 @@
         known = self._notices.get(notice.shard)
         if known is None or known.epoch < notice.epoch:
             self._notices[notice.shard] = notice
-            self._app.dispatcher.entry.owners_changed()
+            self._app.dispatcher.requests.owners_changed()
 
     def on_shard_notice(self, notice: t.Any) -> None:
         """Handle what a shard reports besides answers."""
@@ -178,7 +178,7 @@
         if members != self._members:
             self._members = members
             self._app.config_task.set_members(members)
-        self._app.dispatcher.entry.owners_changed()
+        self._app.dispatcher.requests.owners_changed()
 
     def apply_configuration(self, configure: Configure) -> None:
         """Put a configuration in force."""
--- a/src/poplaryard/monitoring.py
+++ b/src/poplaryard/monitoring.py
@@ -64,7 +64,9 @@
             Reading("poplaryard_ready", float(source.ready())),
             Reading("poplaryard_ticket_number", source.ticket()),
             Reading("poplaryard_shards_owned", len(source.dispatcher.shards)),
-            Reading("poplaryard_open_requests", source.dispatcher.entry.open_requests),
+            Reading(
+                "poplaryard_open_requests", source.dispatcher.requests.open_requests
+            ),
         ]
         found += [Reading(name, value) for name, value in source.counts().items()]
         for shard, task in source.dispatcher.shards.items():
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -3,10 +3,10 @@
 
 import testtools
 
-from poplaryard import entry as entry_module
+from poplaryard import entry
 from poplaryard.clock import VirtualClock
 from poplaryard.codes import Code, Outcome
-from poplaryard.entry import ANSWER_GRACE_S, RESEND_S, Entry
+from poplaryard.entry import ANSWER_GRACE_S, RESEND_S, RequestTracker
 from poplaryard.messages import Answer
 
 from .builders import work
@@ -16,17 +16,17 @@
     return Answer(request_id, code, code.outcome, parts)
 
 
-class EntryTest(testtools.TestCase):
-    """Entry with the test as its router."""
+class RequestTrackerTest(testtools.TestCase):
+    """Tracker with the test as its router."""
 
     def setUp(self):
         super().setUp()
         self.clock = VirtualClock(100.0)
-        self.patch(entry_module, "_clock", self.clock)
-        self.patch(entry_module, "RETRY_WAIT_S", 0.0)
+        self.patch(entry, "_clock", self.clock)
+        self.patch(entry, "RETRY_WAIT_S", 0.0)
         self.owner = "a#1"
         self.sent = []
-        self.entry = Entry("me#1", self, limit=3)
+        self.tracker = RequestTracker("me#1", self, limit=3)
 
     def route(self, work):
         return ("dc1/0", self.owner) if self.owner else Code.NOT_OWNER
@@ -42,7 +42,7 @@
         request = work(deadline=self.clock.now() + 10.0, **fields)
 
         async def run():
-            fut = self.entry.submit(request, "d")
+            fut = self.tracker.submit(request, "d")
             steps(request)
             await asyncio.sleep(0.01)
             return fut.result() if fut.done() else None
@@ -53,16 +53,16 @@
         """Guards against a second answer that replaces the first."""
 
         def steps(request):
-            self.entry.on_answer("a#1", answer(Code.OK, parts=(1,)))
-            self.entry.on_answer("a#1", answer(Code.FAILED))
+            self.tracker.on_answer("a#1", answer(Code.OK, parts=(1,)))
+            self.tracker.on_answer("a#1", answer(Code.FAILED))
 
         self.assertEqual((1,), self.scenario(steps).parts)
-        self.assertEqual(Code.OK, self.entry.answer_of("r1").code)
+        self.assertEqual(Code.OK, self.tracker.answer_of("r1").code)
 
     def test_refusal_by_the_only_owner_is_passed_on(self):
         """Guards against "unknown" where the owner knows that nothing ran."""
         found = self.scenario(
-            lambda _: self.entry.on_answer("a#1", answer(Code.QUEUE_FULL))
+            lambda _: self.tracker.on_answer("a#1", answer(Code.QUEUE_FULL))
         )
         self.assertEqual(Code.QUEUE_FULL, found.code)
 
@@ -71,8 +71,8 @@
 
         def steps(request):
             self.owner = "b#1"
-            self.entry.owners_changed()
-            self.entry.on_answer("b#1", answer(Code.QUEUE_FULL))
+            self.tracker.owners_changed()
+            self.tracker.on_answer("b#1", answer(Code.QUEUE_FULL))
 
         found = self.scenario(steps)
         self.assertEqual(Outcome.UNKNOWN, found.outcome)
@@ -86,11 +86,11 @@
 
         def steps(request):
             self.clock.advance(RESEND_S)
-            self.entry._check(self.entry._open["r1"], self.clock.now())
+            self.tracker._check(self.tracker._open["r1"], self.clock.now())
             self.owner = "b#1"
-            self.entry.owners_changed()
-            self.entry.on_answer("a#1", answer(Code.NOT_OWNER))
-            self.entry.on_answer("b#1", answer(Code.QUEUE_FULL))
+            self.tracker.owners_changed()
+            self.tracker.on_answer("a#1", answer(Code.NOT_OWNER))
+            self.tracker.on_answer("b#1", answer(Code.QUEUE_FULL))
 
         self.assertEqual(Outcome.UNKNOWN, self.scenario(steps).outcome)
 
@@ -98,7 +98,7 @@
         """Guards against "unknown" after connections that were all refused."""
 
         def steps(request):
-            self.entry.undelivered("a#1", request, Code.PEER_UNREACHABLE)
+            self.tracker.undelivered("a#1", request, Code.PEER_UNREACHABLE)
             self.clock.advance(10.0)
 
         found = self.scenario(steps)
@@ -109,7 +109,7 @@
 
         def steps(request):
             self.owner = "b#1"
-            self.entry.undelivered("a#1", request, Code.PEER_UNREACHABLE)
+            self.tracker.undelivered("a#1", request, Code.PEER_UNREACHABLE)
 
         self.assertIsNone(self.scenario(steps))
         self.assertEqual([("a#1", False), ("b#1", False)], self.sent)
@@ -119,8 +119,8 @@
 
         def steps(request):
             self.clock.advance(RESEND_S)
-            pending = self.entry._open["r1"]
-            self.entry._check(pending, self.clock.now())
+            pending = self.tracker._open["r1"]
+            self.tracker._check(pending, self.clock.now())
 
         self.assertIsNone(self.scenario(steps))
         self.assertEqual([("a#1", False), ("a#1", True)], self.sent)
@@ -130,7 +130,7 @@
 
         def steps(request):
             self.clock.advance(10.0 + ANSWER_GRACE_S)
-            self.entry._check(self.entry._open["r1"], self.clock.now())
+            self.tracker._check(self.tracker._open["r1"], self.clock.now())
 
         self.assertEqual(Code.UNKNOWN_OUTCOME, self.scenario(steps).code)
 
@@ -138,9 +138,9 @@
         """Guards against a request that runs again because its caller repeats it."""
 
         def steps(request):
-            again = self.entry.submit(request, "d")
-            self.assertIs(self.entry.answer_future("r1"), again)
-            other = self.entry.submit(request, "other body")
+            again = self.tracker.submit(request, "d")
+            self.assertIs(self.tracker.answer_future("r1"), again)
+            other = self.tracker.submit(request, "other body")
             self.assertEqual(Code.DUPLICATE_MISMATCH, other.code)
 
         self.scenario(steps)
@@ -151,17 +151,17 @@
 
         def steps(request):
             for number in range(2, 4):
-                self.entry.submit(work(f"r{number}"), "d")
-            shed = self.entry.submit(work("r4"), "d")
+                self.tracker.submit(work(f"r{number}"), "d")
+            shed = self.tracker.submit(work("r4"), "d")
             self.assertEqual(Code.QUEUE_FULL, shed.code)
 
         self.scenario(steps)
 
     def test_cancellation(self):
         """Guards against a cancellation that is not forwarded to the owner."""
-        self.scenario(lambda _: self.assertTrue(self.entry.cancel("r1")))
+        self.scenario(lambda _: self.assertTrue(self.tracker.cancel("r1")))
         self.assertIn(("a#1", "r1"), self.sent)
-        self.assertFalse(self.entry.cancel("r9"))
+        self.assertFalse(self.tracker.cancel("r9"))
 
     def test_no_answer_is_lost_in_any_order_of_events(self):
         """Guards against orders of faults that leave a request unanswered.
@@ -178,11 +178,11 @@
             for _ in range(rng.randrange(12)):
                 self._event(rng, request, ran)
             self.clock.advance(10.0 + ANSWER_GRACE_S)
-            pending = self.entry._open.get("r1")
+            pending = self.tracker._open.get("r1")
             if pending is not None:
-                self.entry._check(pending, self.clock.now())
+                self.tracker._check(pending, self.clock.now())
 
-        self.entry = Entry("me#1", self, limit=3)
+        self.tracker = RequestTracker("me#1", self, limit=3)
         self.owner, self.sent = "a#1", []
         found = self.scenario(steps)
         self.assertIsNotNone(found)
@@ -195,16 +195,16 @@
         kind = rng.randrange(4)
         if kind == 0:
             self.owner = owner
-            self.entry.owners_changed()
+            self.tracker.owners_changed()
         elif kind == 1 and self.sent:
             process, _ = self.sent.pop()
-            self.entry.undelivered(process, request, Code.PEER_UNREACHABLE)
+            self.tracker.undelivered(process, request, Code.PEER_UNREACHABLE)
         elif kind == 2 and self.sent:
             process, _ = self.sent.pop()
             ran.add(process)
-            self.entry.undelivered(process, request, Code.PEER_TIMEOUT)
+            self.tracker.undelivered(process, request, Code.PEER_TIMEOUT)
         elif self.sent:
             process, _ = self.sent.pop()
             code = rng.choice([Code.OK, Code.QUEUE_FULL, Code.NOT_OWNER])
             if process not in ran or code is not Code.QUEUE_FULL:
-                self.entry.on_answer(process, answer(code))
+                self.tracker.on_answer(process, answer(code))
