--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -24,7 +24,7 @@
 from .logs import logger
 from .lookup import Finder
 from .monitoring import Monitor
-from .operator_context import OperatorDesk
+from .operator_context import OperatorService
 from .operators import operator_routes
 from .ownership import Ownership
 from .ownership_io import OwnershipTask
@@ -73,13 +73,13 @@
         self._create_components()
         logs.configure(self.process, settings.log_level, self.ticket)
         self.monitor = Monitor(self)
-        self.desk = self._new_desk()
+        self.operator_service = self._new_operator_service()
         self._asgi = self._new_starlette()
         self._starts: list[Hook] = []
         self._stops: list[Hook] = []
         self.on_start(self._start_tasks)
-        self.on_start(self.desk.start)
-        self.on_stop(self.desk.stop)
+        self.on_start(self.operator_service.start)
+        self.on_stop(self.operator_service.stop)
         self.on_stop(self._close_clients)
         self.on_stop(self._stop_tasks)
         self.on_stop(self._hand_over)
@@ -272,12 +272,12 @@
             *api_routes(context),
             *peer_routes(self.peers, self._peer_allowed),
             *self.monitor.routes(),
-            *operator_routes(self.desk),
+            *operator_routes(self.operator_service),
         ]
         return new_starlette(routes)
 
-    def _new_desk(self) -> OperatorDesk:
-        return OperatorDesk(
+    def _new_operator_service(self) -> OperatorService:
+        return OperatorService(
             self.settings.keys.operators,
             self.store,
             self.clock,
--- a/src/poplaryard/operator_context.py
+++ b/src/poplaryard/operator_context.py
@@ -16,13 +16,13 @@
 from .store import Store
 from .tickets import Ticket
 
-__all__ = ["OperatorDesk"]
+__all__ = ["OperatorService"]
 
 # An alarm's begin is known to this accuracy.
 OBSERVE_S = 2.0
 
 
-class OperatorDesk:
+class OperatorService:
     """Serves the operators' calls from the parts of one process.
 
     Parameters
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -8,7 +8,7 @@
 from poplaryard.audit import AuditLog, AuditWriter
 from poplaryard.clock import VirtualClock
 from poplaryard.codes import Code
-from poplaryard.operator_context import OperatorDesk
+from poplaryard.operator_context import OperatorService
 from poplaryard.operators import operator_routes
 from poplaryard.rollout import LoadConfig, Loaded, Members, Rollout
 
@@ -28,7 +28,7 @@
         self.rollout.handle(0.0, Loaded(self.filer.loader.state))
         self.log = AuditLog()
         writer = AuditWriter(self.store, self.clock, self.log, "dc1", "p0")
-        self.desk = OperatorDesk(
+        self.desk = OperatorService(
             {"anna": _KEY, "bo": "operator-key-2"},
             self.store,
             self.clock,
