--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -153,7 +153,7 @@
             except (StoreConflict, StoreReplyLost):
                 filing.record = await self._store.get(key)
                 if filing.record is None:
-                    self._lease.forget()
+                    self._lease.invalidate()
         raise StoreDown()
 
     async def _accepted_before(self, filing: Filing, head: Head) -> Accepted | None:
@@ -248,7 +248,7 @@
                 if await self._store.get(key) is not None:
                     return
                 # A lapsed lease is refused in the same way as an existing key.
-                self._lease.forget()
+                self._lease.invalidate()
         raise StoreDown()
 
     async def _put_objects(self, filing: Filing) -> None:
--- a/src/poplaryard/audit.py
+++ b/src/poplaryard/audit.py
@@ -172,7 +172,7 @@
         """Handle a key that an earlier write with a lost reply has taken."""
         held = await self._store.get(self._key())
         if held is None:
-            self._lease.forget()
+            self._lease.invalidate()
             raise StoreDown("The retention lease has lapsed.")
         if held.value != value:
             # The earlier write took effect with fewer events; write the whole again.
--- a/src/poplaryard/retention.py
+++ b/src/poplaryard/retention.py
@@ -42,6 +42,6 @@
             self._until = now + self._span_s
         return self._lease
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Discard the cached lease, which may have lapsed."""
         self._until = float("-inf")
