--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -52,7 +52,9 @@
         self._state = state
         self._estimator = estimator
         self._requeue = requeue
+        # Attempts to stop.
         self._queued_stops: deque[str] = deque()
+        # Attempts to which a stop was sent, each with the time to repeat it.
         self._sent_stops: deque[tuple[float, str]] = deque()
 
     def progress(self, vm: Vm, attempt: Attempt, report: AttemptReport) -> None:
@@ -219,7 +221,7 @@
         self._send(now, job, answer)
 
     def give_up(self, now: float, job: Job, code: Code) -> None:
-        """Answer a job with a code that does not say that it has not run."""
+        """Answer a job with a code that is also valid if an attempt has run."""
         self._end_job(now, job, code)
 
     def queue_stops(self, job: Job) -> None:
