--- a/src/poplaryard/api.py
+++ b/src/poplaryard/api.py
@@ -126,7 +126,7 @@
 
 def api_routes(context: ApiContext) -> list[Route]:
     """Return the routes for callers."""
-    api = _Api(context)
+    api = _CallerRoutes(context)
     return [
         Route("/v1/requests", api.authenticated(api.post_request), methods=["POST"]),
         Route("/v1/jobs", api.authenticated(api.post_job), methods=["POST"]),
@@ -140,7 +140,9 @@
 Handler: t.TypeAlias = t.Callable[[Request], t.Awaitable[Response]]
 
 
-class _Api:
+class _CallerRoutes:
+    """Handlers of the caller routes."""
+
     def __init__(self, context: ApiContext):
         self._context = context
 
--- a/src/poplaryard/centres.py
+++ b/src/poplaryard/centres.py
@@ -87,7 +87,7 @@
     ----------
     listed : mapping
         Data centre to the addresses listed for it in the settings.
-    changed : callable
+    on_change : callable
         Called after the owners of a data centre have changed.
     """
 
@@ -96,12 +96,12 @@
         listed: t.Mapping[str, t.Sequence[str]],
         peers: PeerTable,
         clock: Clock,
-        changed: t.Callable[[], None],
+        on_change: t.Callable[[], None],
     ):
         self._listed = listed
         self._peers = peers
         self._clock = clock
-        self._changed = changed
+        self._on_change = on_change
         self._views: dict[str, _CachedView] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._rounds = itertools.count()
@@ -135,7 +135,7 @@
         for process, address in view.addresses.items():
             self._peers.set_address(process, address)
         if changed:
-            self._changed()
+            self._on_change()
 
     async def stop(self) -> None:
         """Cancel the calls in progress."""
--- a/src/poplaryard/context.py
+++ b/src/poplaryard/context.py
@@ -79,8 +79,8 @@
         if found is not None:
             return found
         watched = requests.watch_answer(request_id)
-        known = await self._finder.explain(request_id, watch=True)
-        return watched if known is not None else None
+        explanation = await self._finder.explain(request_id, watch=True)
+        return watched if explanation is not None else None
 
     async def cancel(self, request_id: str) -> bool:
         """Cancel a request; return False if it is not known."""
@@ -95,9 +95,9 @@
 
     async def explain(self, request_id: str) -> str:
         """Return one sentence that describes the state of a request."""
-        known = await self._finder.explain(request_id)
-        if known is not None:
-            return known
+        explanation = await self._finder.explain(request_id)
+        if explanation is not None:
+            return explanation
         answer = self._dispatcher.requests.answer_of(request_id)
         if answer is not None:
             return f"The request was answered: {answer.detail or answer.code.meaning}"
--- a/src/poplaryard/dispatch.py
+++ b/src/poplaryard/dispatch.py
@@ -175,9 +175,9 @@
         if isinstance(envelope.message, Submit):
             self.requests.undelivered(process, envelope.message.work, code)
 
-    def look_up(self, question: Lookup) -> list[LookupReply]:
+    def look_up(self, query: Lookup) -> list[LookupReply]:
         """Return the state of a request, from the shards and open requests here."""
-        request_id, reply_to = question.request_id, question.reply_to
+        request_id, reply_to = query.request_id, query.reply_to
         found = [task.look_up(request_id, reply_to) for task in self.shards.values()]
         found.append(self._look_up_open(request_id, reply_to))
         return [LookupReply(request_id, text) for text in found if text is not None]
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -19,8 +19,11 @@
 # Interval after which an unanswered request is resent with the same id: the owner may
 # have failed or its answer may be lost. An owner that knows the id does not rerun it.
 RESEND_S = 2.0
+# Pause before a rejected request is sent to the owner then known.
 RETRY_WAIT_S = 0.05
+# Interval of the checks of deadlines and unanswered requests.
 CHECK_PERIOD_S = 0.25
+# Number of latest answers kept for callers that ask again with the same id.
 ANSWERS_KEPT = 20_000
 # Maximum number of requests submitted at other entry processes whose answers are
 # awaited here; beyond it the oldest are dropped.
--- a/src/poplaryard/exceptions.py
+++ b/src/poplaryard/exceptions.py
@@ -77,7 +77,7 @@
     other_instance : bool
         Whether another instance of the worker, or another worker, answered.
     fenced : bool
-        Whether the worker has seen a higher fencing token.
+        Whether the worker has seen a higher fencing token, that of a later owner.
     """
 
     def __init__(
--- a/src/poplaryard/exchange.py
+++ b/src/poplaryard/exchange.py
@@ -28,6 +28,8 @@
 
 __all__ = ["Exchange"]
 
+# Minimum pause after a failed read of the configuration or the VM list; up to twice
+# this, at random.
 LIST_RETRY_S = 1.0
 
 
@@ -44,7 +46,7 @@
     def __init__(self, app: "Application"):
         self._app = app
         self._data_centre = app.settings.data_centre
-        self._notices: dict[str, OwnerNotice] = {}
+        self._owner_notices: dict[str, OwnerNotice] = {}
         self._members: Members | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -58,7 +60,7 @@
         if shard.rpartition("/")[0] != self._data_centre:
             return self._app.remote_owners.owner_of(shard)
         entry = self._app.ownership_task.ownership.record.shards.get(shard)
-        notice = self._notices.get(shard)
+        notice = self._owner_notices.get(shard)
         if notice is not None and (entry is None or notice.epoch > entry.epoch):
             return notice.owner
         return (entry.owner if entry else "") or Code.NOT_OWNER
@@ -97,19 +99,19 @@
         self._app.remote_owners.invalidate(process)
         self._app.dispatcher.undelivered(process, envelope, code)
 
-    def _owners_view(self, question: AskOwners) -> list[OwnersView]:
-        if question.data_centre != self._data_centre:
+    def _owners_view(self, request: AskOwners) -> list[OwnersView]:
+        if request.data_centre != self._data_centre:
             return []
         record = self._app.ownership_task.ownership.record
         found = {shard: self.owner_of(shard) for shard in record.shards}
         owners = {k: v for k, v in found.items() if not isinstance(v, Code)}
         addresses = {name: item.address for name, item in record.members.items()}
-        return [OwnersView(question.data_centre, owners, addresses)]
+        return [OwnersView(request.data_centre, owners, addresses)]
 
     def _on_owner_notice(self, notice: OwnerNotice) -> None:
-        known = self._notices.get(notice.shard)
+        known = self._owner_notices.get(notice.shard)
         if known is None or known.epoch < notice.epoch:
-            self._notices[notice.shard] = notice
+            self._owner_notices[notice.shard] = notice
             self._app.dispatcher.requests.owners_changed()
 
     def on_shard_notice(self, notice: t.Any) -> None:
--- a/src/poplaryard/lookup.py
+++ b/src/poplaryard/lookup.py
@@ -72,7 +72,7 @@
         self._peers = peers
         self._lookup_candidates = candidates
         self._ask_self = ask_self
-        self._found: dict[str, str] = {}
+        self._explanations: dict[str, str] = {}
 
     async def explain(self, request_id: str, watch: bool = False) -> str | None:
         """Return one sentence on the state of a request, or None if nobody knows it.
@@ -88,13 +88,13 @@
             `Code.PEER_TIMEOUT` if the request was not found and a process that may know
             it did not answer.
         """
-        self._found.pop(request_id, None)
-        question = Lookup(request_id, self._process if watch else "")
+        self._explanations.pop(request_id, None)
+        query = Lookup(request_id, self._process if watch else "")
         for _ in range(ROUNDS):
-            complete = await self._ask_all(question)
-            found = self._found.pop(request_id, None)
-            if found is not None or complete:
-                return found
+            complete = await self._ask_all(query)
+            explanation = self._explanations.pop(request_id, None)
+            if explanation is not None or complete:
+                return explanation
             await asyncio.sleep(ROUND_WAIT_S)
         detail = "Not every process that may know the request has answered."
         raise CallError(Code.PEER_TIMEOUT, detail)
@@ -103,18 +103,18 @@
         """Return the processes that may know a request."""
         return self._lookup_candidates(request_id)[0] | {self._process}
 
-    async def _ask_all(self, question: Lookup) -> bool:
+    async def _ask_all(self, query: Lookup) -> bool:
         """Query all candidates once; return whether the result is conclusive.
 
         It is if this process knows the request, or if the set of candidates is complete
         and all of them have answered.
         """
-        for reply in self._ask_self(question):
+        for reply in self._ask_self(query):
             self.receive(reply)
-        if question.request_id in self._found:
+        if query.request_id in self._explanations:
             return True
-        candidates, complete = self._lookup_candidates(question.request_id)
-        batch = [Envelope(question)]
+        candidates, complete = self._lookup_candidates(query.request_id)
+        batch = [Envelope(query)]
         calls = (
             self._peers.call(name, batch, CALL_TIMEOUT_S)
             for name in candidates - {self._process}
@@ -124,4 +124,4 @@
 
     def receive(self, reply: LookupReply) -> None:
         """Record the reply of a process that knows the request."""
-        self._found[reply.request_id] = reply.explanation
+        self._explanations[reply.request_id] = reply.explanation
--- a/src/poplaryard/ownership_io.py
+++ b/src/poplaryard/ownership_io.py
@@ -40,7 +40,7 @@
 __all__ = ["OwnershipTask"]
 
 TICK_S = 0.1
-# Time without a tick after which the process is taken to have been paused.
+# Time without a tick after which the process is considered to have been paused.
 PAUSE_S = 0.5
 WATCH_WAIT_S = 20.0
 WATCH_RETRY_S = 1.0
@@ -86,6 +86,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._watch: asyncio.Task[None] | None = None
         self._last_tick = clock.now()
+        # Leases in the record whose member keys were missing when it was last read.
         self._ended_leases: set[str] = set()
         self._leave_done = asyncio.Event()
 
@@ -239,12 +240,14 @@
             self.handle(RecordWritten(entry.version))
 
     async def _watch_record(self) -> None:
-        after = 0
+        version = 0
         while True:
             try:
-                found = await self._store.watch(self._watch_prefix, after, WATCH_WAIT_S)
+                found = await self._store.watch(
+                    self._watch_prefix, version, WATCH_WAIT_S
+                )
                 if found:
-                    after = max(entry.version for entry in found)
+                    version = max(entry.version for entry in found)
                     self.handle(await self._read_record())
             except PoplaryardError:
                 await asyncio.sleep(WATCH_RETRY_S)
--- a/src/poplaryard/peers.py
+++ b/src/poplaryard/peers.py
@@ -67,7 +67,7 @@
 
 
 Receive: t.TypeAlias = t.Callable[[str, Envelope], t.Sequence[t.Any] | None]
-Failed: t.TypeAlias = t.Callable[[str, Envelope, Code], None]
+OnFailure: t.TypeAlias = t.Callable[[str, Envelope, Code], None]
 
 
 class _Outbox:
@@ -123,7 +123,7 @@
     receive : callable
         Called with the sender's id and an envelope; may return messages to send back
         with the reply to the call.
-    failed : callable
+    on_failure : callable
         Called with the peer's id, the envelope and the code of each message that was
         not delivered (`PEER_UNREACHABLE`) or may have been (`PEER_TIMEOUT`).
     limit : int
@@ -137,14 +137,14 @@
         address: str,
         client: HttpClient,
         receive: Receive,
-        failed: Failed,
+        on_failure: OnFailure,
         limit: int = 2048,
     ):
         self._process = process
         self._address = address
         self._client = client
         self.receive = receive
-        self._failed = failed
+        self._on_failure = on_failure
         self._limit = limit
         self._addresses: dict[str, str] = {}
         self._outboxes: dict[str, _Outbox] = {}
@@ -168,11 +168,11 @@
         `CALLS_PER_PEER` calls are open.
         """
         if process not in self._addresses:
-            self._failed(process, envelope, Code.PEER_UNREACHABLE)
+            self._on_failure(process, envelope, Code.PEER_UNREACHABLE)
             return
         outbox = self._outboxes.setdefault(process, _Outbox(self._limit))
         if len(outbox.waiting) + outbox.in_flight >= outbox.limit:
-            self._failed(process, envelope, Code.PEER_UNREACHABLE)
+            self._on_failure(process, envelope, Code.PEER_UNREACHABLE)
             return
         outbox.waiting.append(envelope)
         if not outbox.batching and outbox.calls < CALLS_PER_PEER:
@@ -256,7 +256,7 @@
             return CallResult.DEAD
         if reply.status != 200:
             return CallResult.NOT_SENT
-        self._take_replies(process, reply.body)
+        self._handle_replies(process, reply.body)
         return CallResult.DELIVERED
 
     async def _send(self, process: str, batch: list[Envelope]) -> None:
@@ -266,7 +266,7 @@
         lost = result is CallResult.UNKNOWN
         code = Code.PEER_TIMEOUT if lost else Code.PEER_UNREACHABLE
         for envelope in batch:
-            self._failed(process, envelope, code)
+            self._on_failure(process, envelope, code)
 
     def _batch_body(
         self, process: str, batch: t.Sequence[Envelope]
@@ -279,7 +279,7 @@
             "messages": [_encode(envelope, now) for envelope in batch],
         }
 
-    def _take_replies(self, process: str, body: t.Any) -> None:
+    def _handle_replies(self, process: str, body: t.Any) -> None:
         now = _clock.now()
         for item in body.get("messages", ()) if isinstance(body, dict) else ():
             self.receive(process, _decode(item, now))
--- a/src/poplaryard/routing.py
+++ b/src/poplaryard/routing.py
@@ -110,7 +110,7 @@
 
 
 def may_retry(work: Work, code: Code, now: float) -> bool:
-    """Return whether an entry may resend `work` after an attempt ended with `code`."""
+    """Return whether work may be sent again after an attempt ended with `code`."""
     if now >= work.deadline or code in _FINAL or code == Code.OK:
         return False
     if code.outcome is Outcome.NOT_RUN:
--- a/src/poplaryard/settings.py
+++ b/src/poplaryard/settings.py
@@ -54,7 +54,8 @@
     Attributes
     ----------
     callers, operators : dict
-        Keys of those who submit work, and of those who file tickets.
+        Keys of the programs that submit work, and of the operators, who change the
+        configuration by tickets.
     peer : str
         Key that all entry processes of the cell share.
     """
--- a/tests/fake_store.py
+++ b/tests/fake_store.py
@@ -42,7 +42,10 @@
 
     ``faults`` maps (method, key prefix) to a list of "down", "lost" (applied, no
     reply) or "dropped" (not applied, no reply); each matching call uses one up.
-    ``hooks`` are awaited with the method and the key before each call takes effect.
+    ``hooks`` are awaited in order with the method and the key before each call takes
+    effect. ``call_faults`` holds the faults set by `fail_call`, by number of the call,
+    ``deleted`` the version at which each deleted key was deleted, ``calls`` the number
+    of calls by method, and ``log`` one line for each call.
     """
 
     def __init__(self, seed=0):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -18,7 +18,8 @@
 CALLER_KEY = "caller-key-1"
 OPERATOR_KEY = "operator-key-1"
 WORKERS = 4
-# A test fails when it reaches one of the timeouts; it never passes because of one.
+# A test fails when it reaches this timeout or `ANSWER_TIMEOUT_S`; it never passes
+# because of one.
 READY_TIMEOUT_S = 30.0
 SUBMIT_INTERVAL_S = 0.025
 ANSWER_TIMEOUT_S = 60.0
@@ -221,7 +222,7 @@
         self.answers = {}
         self._tasks = []
 
-    def ask(self, number, run_ms=20):
+    def start_caller(self, number, run_ms=20):
         """Start one caller; every third request must run at most once."""
         body = {
             "id": f"r{number}",
@@ -238,7 +239,7 @@
     async def run(self, first, count, run_ms=20):
         """Start `count` callers, one every `SUBMIT_INTERVAL_S` seconds."""
         for number in range(first, first + count):
-            self.ask(number, run_ms)
+            self.start_caller(number, run_ms)
             await asyncio.sleep(SUBMIT_INTERVAL_S)
 
     async def finish(self):
@@ -299,13 +300,13 @@
         return [f"P3: {number} has no answer"]
     if answer["code"] == Code.OK:
         whole = [part["echo"] for part in answer["parts"]] == [number]
-        found = [] if whole else [f"P3: {number} has another's answer: {answer}"]
+        found = [] if whole else [f"P3: {number} has a wrong answer: {answer}"]
     elif answer["outcome"] == "not_run":
-        found = [f"P4: {number} ran but is said not to have"] if runs else []
+        found = [f"P4: {number} ran but was answered as not run"] if runs else []
         found.append(f"{number} was never served: {answer}")
     else:
         # Only work that may not run twice may end with an unknown outcome.
-        found = [] if at_most_once else [f"{number} could have run again: {answer}"]
+        found = [] if at_most_once else [f"{number} could be retried: {answer}"]
     if at_most_once and runs > 1:
         found.append(f"P5: {number} ran {runs} times")
     return found
--- a/tests/test_centres.py
+++ b/tests/test_centres.py
@@ -14,7 +14,7 @@
     def setUp(self):
         super().setUp()
         self.clock = VirtualClock(100.0)
-        self.asked, self.answers, self.learned = [], {}, {}
+        self.asked, self.answers, self.addresses = [], {}, {}
         self.changes = []
         listed = {"dc2": ["a:1", "a:2"]}
         self.owners = RemoteOwners(
@@ -22,7 +22,7 @@
         )
 
     def set_address(self, process, address):
-        self.learned[process] = address
+        self.addresses[process] = address
 
     async def call(self, address, batch, timeout_s):
         self.asked.append(address)
@@ -47,7 +47,7 @@
         self.answers["a:2"] = OwnersView("dc2", {"dc2/0": "q#1"}, {"q#1": "a:3"})
         self.assertEqual("q#1", self.owner())
         self.assertEqual(["a:1", "a:2"], self.asked)
-        self.assertEqual("a:3", self.learned["q#1"])
+        self.assertEqual("a:3", self.addresses["q#1"])
         self.assertEqual("q#1", self.owner())
         self.assertEqual((2, 1), (len(self.asked), len(self.changes)))
         self.clock.advance(FRESH_S + 1.0)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -94,7 +94,7 @@
 
         self.assertEqual(Outcome.UNKNOWN, self.scenario(steps).outcome)
 
-    def test_a_request_that_never_left_was_not_run(self):
+    def test_a_request_that_was_never_delivered_was_not_run(self):
         """Guards against "unknown" after connections that were all refused."""
 
         def steps(request):
@@ -146,14 +146,14 @@
         self.scenario(steps)
         self.assertEqual(1, len(self.sent))
 
-    def test_requests_beyond_the_limit_are_shed(self):
+    def test_requests_beyond_the_limit_are_refused(self):
         """Guards against memory that grows with the number of callers."""
 
         def steps(request):
             for number in range(2, 4):
                 self.tracker.submit(work(f"r{number}"), "d")
-            shed = self.tracker.submit(work("r4"), "d")
-            self.assertEqual(Code.QUEUE_FULL, shed.code)
+            refused = self.tracker.submit(work("r4"), "d")
+            self.assertEqual(Code.QUEUE_FULL, refused.code)
 
         self.scenario(steps)
 
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -33,8 +33,8 @@
         if process in self.silent:
             return CallResult.UNKNOWN
         if process in self.known:
-            question = batch[0].message
-            self.finder.receive(LookupReply(question.request_id, "It runs."))
+            query = batch[0].message
+            self.finder.receive(LookupReply(query.request_id, "It runs."))
         return CallResult.DELIVERED
 
     def explain(self):
--- a/tests/test_ownership_io.py
+++ b/tests/test_ownership_io.py
@@ -87,8 +87,8 @@
         lease = found[0].lease
         self.assertEqual(RecordSeen(Record(), 0, frozenset({lease})), found[1])
         self.messages.clear()
-        end = RevokeLease(lease)
-        kinds = self.kinds(RenewLease(lease), end, RenewLease(lease))
+        revoke = RevokeLease(lease)
+        kinds = self.kinds(RenewLease(lease), revoke, RenewLease(lease))
         self.assertEqual([LeaseRenewed, LeaseFailed], kinds)
         self.assertTrue(self.messages[-1].lapsed)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -85,9 +85,9 @@
         self.run_with(scenario)
 
     def test_replies_come_back_with_the_call(self):
-        """Guards against replies that cannot be matched to the time of the call.
+        """Guards against replies without the time at which their call was sent.
 
-        A promise in the reply to a heartbeat counts from the time it was sent.
+        A promise in the reply to a heartbeat counts from the sending of the heartbeat.
         """
 
         async def scenario(one, two):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -111,16 +111,16 @@
 
     def test_violations_are_reported(self):
         """Guards against a check that reports no violation whatever happened."""
-        once = {"code": 1000, "outcome": "ran", "parts": [{"echo": 0}]}
-        other = {"code": 1000, "outcome": "ran", "parts": [{"echo": 9}]}
-        denied = {"code": 2001, "outcome": "not_run"}
+        right = {"code": 1000, "outcome": "ran", "parts": [{"echo": 0}]}
+        wrong = {"code": 1000, "outcome": "ran", "parts": [{"echo": 9}]}
+        not_run = {"code": 2001, "outcome": "not_run"}
         times = {"started": 1.0, "ended": 3.0, "exclusive_key": "k"}
         records = [
             {**times, "request_id": "r0"},
             {**times, "request_id": "r0", "started": 2.0},
             {**times, "request_id": "r2", "exclusive_key": ""},
         ]
-        answers = {0: once, 1: other, 2: denied}
+        answers = {0: right, 1: wrong, 2: not_run}
         found = find_violations(answers, records, 1, 4)
         codes = [text[:2] for text in found if text[0] == "P"]
         self.assertEqual(["P1", "P2", "P5", "P3", "P4", "P3"], codes)
