--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -177,7 +177,7 @@
     parts: list[dict[str, t.Any]] = [{}]
     size = 0
     for key, ref in sorted(state.refs.items()):
-        value = tickets.object_of(tickets.lookup(state.config, key))
+        value = tickets.encode_object(tickets.lookup(state.config, key))
         length = tickets.size_of(value) + len(key) + len(ref) + 16
         if size + length > max_bytes and parts[-1]:
             parts.append({})
--- a/src/poplaryard/head.py
+++ b/src/poplaryard/head.py
@@ -271,7 +271,7 @@
         for key, ref in self.refs.items():
             if number_of(ref) > base:
                 spec = tickets.lookup(self.config, key)
-                objects[key] = (ref, tickets.object_of(spec))
+                objects[key] = (ref, tickets.encode_object(spec))
         for key, at in self.removed.items():
             if at > base:
                 objects[key] = (f"{at}-", None)
--- a/src/poplaryard/operators.py
+++ b/src/poplaryard/operators.py
@@ -185,7 +185,7 @@
         spec = dict(tickets.objects_of(config)).get(key)
         if spec is None:
             return error_response(Code.NOT_FOUND, f"There is no {key} in force.")
-        return _json({"number": config.number, "object": tickets.object_of(spec)})
+        return _json({"number": config.number, "object": tickets.encode_object(spec)})
 
     @operator_key
     async def status(self, request: Request) -> Response:
--- a/src/poplaryard/ticket_check.py
+++ b/src/poplaryard/ticket_check.py
@@ -94,7 +94,7 @@
         elif value is None:
             yield f"{key} is removed."
         else:
-            found = differences(tickets.object_of(spec), value)
+            found = differences(tickets.encode_object(spec), value)
             yield f"{key}: {'; '.join(found) or 'nothing changes'}."
 
 
--- a/src/poplaryard/ticket_encoding.py
+++ b/src/poplaryard/ticket_encoding.py
@@ -14,7 +14,7 @@
 )
 from .resources import Resources
 
-__all__ = ["object_of"]
+__all__ = ["encode_object"]
 
 
 def _cores(need: Resources) -> dict[str, t.Any]:
@@ -26,12 +26,12 @@
 
 
 @functools.singledispatch
-def object_of(spec: t.Any) -> dict[str, t.Any]:
+def encode_object(spec: t.Any) -> dict[str, t.Any]:
     """Return the stored form of an object, which `parse_object` reads back."""
     raise TypeError(f"{type(spec).__name__} is no configuration object")
 
 
-@object_of.register
+@encode_object.register
 def _(spec: ServiceSpec) -> dict[str, t.Any]:
     return {
         "kind": "service",
@@ -47,7 +47,7 @@
     }
 
 
-@object_of.register
+@encode_object.register
 def _(spec: BatchSpec) -> dict[str, t.Any]:
     return {
         "kind": "batch",
@@ -60,7 +60,7 @@
     }
 
 
-@object_of.register
+@encode_object.register
 def _(spec: VmGroupSpec) -> dict[str, t.Any]:
     # The most frequent size is the group's, so that a large group stays small.
     sizes = [vm.capacity for vm in spec.vms]
@@ -87,7 +87,7 @@
     return entry if vm.capacity == common else {**entry, **_cores(vm.capacity)}
 
 
-@object_of.register
+@encode_object.register
 def _(spec: TeamSpec) -> dict[str, t.Any]:
     found: dict[str, t.Any] = {
         "kind": "team",
@@ -101,7 +101,7 @@
     return found
 
 
-@object_of.register
+@encode_object.register
 def _(spec: WorkKindSpec) -> dict[str, t.Any]:
     return {
         "kind": "work_kind",
@@ -114,7 +114,7 @@
     }
 
 
-@object_of.register
+@encode_object.register
 def _(spec: Policy) -> dict[str, t.Any]:
     return {
         "kind": "policy",
--- a/src/poplaryard/tickets.py
+++ b/src/poplaryard/tickets.py
@@ -13,7 +13,7 @@
 from .codes import Code
 from .configuration import Configuration, Policy
 from .exceptions import CallError
-from .ticket_encoding import object_of
+from .ticket_encoding import encode_object
 from .ticket_objects import KINDS, AnyObject, Removal, Spec, parse_object
 
 __all__ = [
@@ -28,7 +28,7 @@
     "digest",
     "encode",
     "lookup",
-    "object_of",
+    "encode_object",
     "objects_of",
     "parse",
     "size_of",
@@ -183,7 +183,7 @@
 def changes_of(ticket: Ticket) -> dict[str, dict[str, t.Any] | None]:
     """Return the stored form of each object of a ticket; None for a removal."""
     return {
-        key: None if isinstance(item, Removal) else object_of(item.spec())
+        key: None if isinstance(item, Removal) else encode_object(item.spec())
         for key, item in zip(ticket.object_keys(), ticket.objects, strict=True)
     }
 
@@ -253,7 +253,7 @@
     return {
         "format": FORMAT,
         "number": config.number,
-        "objects": [object_of(spec) for _, spec in objects_of(config)],
+        "objects": [encode_object(spec) for _, spec in objects_of(config)],
     }
 
 
