--- a/src/poplaryard/operators.py
+++ b/src/poplaryard/operators.py
@@ -182,7 +182,7 @@
     async def object(self, request: Request) -> Response:
         config = self._config()
         key = f"{request.path_params['kind']}/{request.path_params['name']}"
-        spec = dict(tickets.objects_of(config)).get(key)
+        spec = dict(tickets.iter_objects(config)).get(key)
         if spec is None:
             return error_response(Code.NOT_FOUND, f"There is no {key} in force.")
         return _json({"number": config.number, "object": tickets.encode_object(spec)})
--- a/src/poplaryard/ticket_check.py
+++ b/src/poplaryard/ticket_check.py
@@ -130,7 +130,7 @@
 def _name_warnings(config: Configuration, ticket: Ticket) -> t.Iterator[str]:
     """Warn of a new or removed name that looks like an existing one."""
     names: dict[str, list[str]] = {}
-    for key, _spec in tickets.objects_of(config):
+    for key, _spec in tickets.iter_objects(config):
         kind, name = key.split("/", 1)
         names.setdefault(kind, []).append(name)
     for key, value in tickets.changes_of(ticket).items():
--- a/src/poplaryard/tickets.py
+++ b/src/poplaryard/tickets.py
@@ -29,7 +29,7 @@
     "encode",
     "lookup",
     "encode_object",
-    "objects_of",
+    "iter_objects",
     "parse",
     "size_of",
     "with_objects",
@@ -239,7 +239,7 @@
     return found
 
 
-def objects_of(config: Configuration) -> t.Iterator[tuple[str, Spec]]:
+def iter_objects(config: Configuration) -> t.Iterator[tuple[str, Spec]]:
     """Yield ``kind/name`` and the state of each object of a configuration."""
     for kind, field in _FIELDS.items():
         for name, spec in getattr(config, field).items():
@@ -253,7 +253,7 @@
     return {
         "format": FORMAT,
         "number": config.number,
-        "objects": [encode_object(spec) for _, spec in objects_of(config)],
+        "objects": [encode_object(spec) for _, spec in iter_objects(config)],
     }
 
 
