--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -78,7 +78,7 @@
 
     async def file(self, ticket: Ticket) -> FileResult:
         """File a ticket and return what became of it; never raises for the store."""
-        objects = tickets.changes_of(ticket)
+        objects = tickets.encode_changes(ticket)
         whole = ticket.model_dump(mode="json", exclude_unset=True)
         filing = Filing(ticket, tickets.digest(whole), objects, whole)
         try:
--- a/src/poplaryard/ticket_check.py
+++ b/src/poplaryard/ticket_check.py
@@ -87,7 +87,7 @@
 
 
 def _changes(config: Configuration, ticket: Ticket) -> t.Iterator[str]:
-    for key, value in tickets.changes_of(ticket).items():
+    for key, value in tickets.encode_changes(ticket).items():
         spec = tickets.lookup(config, key)
         if spec is None:
             yield f"{key} is {'not there already' if value is None else 'new'}."
@@ -133,7 +133,7 @@
     for key, _spec in tickets.iter_objects(config):
         kind, name = key.split("/", 1)
         names.setdefault(kind, []).append(name)
-    for key, value in tickets.changes_of(ticket).items():
+    for key, value in tickets.encode_changes(ticket).items():
         kind, name = key.split("/", 1)
         if tickets.lookup(config, key) is not None:
             continue
--- a/src/poplaryard/tickets.py
+++ b/src/poplaryard/tickets.py
@@ -21,7 +21,7 @@
     "POLICY_KEY",
     "Ticket",
     "apply",
-    "changes_of",
+    "encode_changes",
     "check_shards",
     "check_vms",
     "decode",
@@ -180,7 +180,7 @@
     return text.encode()
 
 
-def changes_of(ticket: Ticket) -> dict[str, dict[str, t.Any] | None]:
+def encode_changes(ticket: Ticket) -> dict[str, dict[str, t.Any] | None]:
     """Return the stored form of each object of a ticket; None for a removal."""
     return {
         key: None if isinstance(item, Removal) else encode_object(item.spec())
