--- a/src/poplaryard/bench_tickets.py
+++ b/src/poplaryard/bench_tickets.py
@@ -15,7 +15,7 @@
 from .client import HttpClient
 from .clock import SystemClock
 from .compaction import Compactor
-from .config_loader import Loader, parts_of, read_head
+from .config_loader import Loader, read_head, split_snapshot
 from .exceptions import PoplaryardError
 from .head import HEAD_KEY, MAX_VALUE_BYTES, ConfigState, Head
 from .rollout import Loaded, Members, PeerDelta, Rollout, Send
@@ -196,7 +196,7 @@
     await Loader(store).refresh()
     snapshot_load_ms = (time.perf_counter() - began) * 1000
     began = time.perf_counter()
-    parts = parts_of(whole, MAX_VALUE_BYTES)
+    parts = split_snapshot(whole, MAX_VALUE_BYTES)
     parts_ms = (time.perf_counter() - began) * 1000
     entries = [await store.get(key) for key in (HEAD_KEY,)]
     sizes = [len(json.dumps(part)) for part in parts]
--- a/src/poplaryard/compaction.py
+++ b/src/poplaryard/compaction.py
@@ -3,7 +3,7 @@
 import typing as t
 from dataclasses import replace
 
-from .config_loader import Loader, parts_of, read_head
+from .config_loader import Loader, read_head, split_snapshot
 from .exceptions import StoreConflict, StoreReplyLost
 from .head import HEAD_KEY, MAX_VALUE_BYTES, Head, number_of, object_key, snapshot_key
 from .store import Entry, Store
@@ -45,7 +45,7 @@
         state = await self._loader.refresh(head)
         if state.number != head.number:
             return False
-        parts = parts_of(state, MAX_VALUE_BYTES)
+        parts = split_snapshot(state, MAX_VALUE_BYTES)
         for index, part in enumerate(parts):
             if not await self._put_part(snapshot_key(head.number, index), part):
                 return False
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -20,7 +20,7 @@
 )
 from .store import Entry, Store
 
-__all__ = ["Loader", "load", "parts_of", "read_head", "read_ticket"]
+__all__ = ["Loader", "load", "split_snapshot", "read_head", "read_ticket"]
 
 # One scan of all objects is cheaper for the store than this many single reads.
 _SCAN_FROM = 24
@@ -172,7 +172,7 @@
         return await asyncio.gather(*(read(key) for key in keys))
 
 
-def parts_of(state: ConfigState, max_bytes: int) -> list[dict[str, t.Any]]:
+def split_snapshot(state: ConfigState, max_bytes: int) -> list[dict[str, t.Any]]:
     """Split a state into snapshot parts whose JSON stays below a size."""
     parts: list[dict[str, t.Any]] = [{}]
     size = 0
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -7,7 +7,7 @@
 from poplaryard.acceptance import Acceptance, load
 from poplaryard.clock import VirtualClock
 from poplaryard.compaction import SNAPSHOT_EVERY, Compactor
-from poplaryard.config_loader import Loader, parts_of, read_head
+from poplaryard.config_loader import Loader, read_head, split_snapshot
 from poplaryard.configuration import Configuration
 from poplaryard.exceptions import CallError, StoreDown
 
@@ -145,7 +145,7 @@
                 self.assertTrue((await self.filer.file(ticket(f"uid-{dc}", group))).ok)
             return await Loader(self.store).refresh()
 
-        parts = parts_of(asyncio.run(run()), 900_000)
+        parts = split_snapshot(asyncio.run(run()), 900_000)
         self.assertGreater(len(parts), 1)
         self.assertLess(max(len(json.dumps(part)) for part in parts), 1_000_000)
 
