--- a/src/poplaryard/monitoring.py
+++ b/src/poplaryard/monitoring.py
@@ -64,7 +64,9 @@
             Sample("poplaryard_ready", float(source.ready())),
             Sample("poplaryard_ticket_number", source.ticket()),
             Sample("poplaryard_shards_owned", len(source.dispatcher.shards)),
-            Sample("poplaryard_open_requests", source.dispatcher.entry.open_requests),
+            Sample(
+                "poplaryard_open_requests", source.dispatcher.requests.open_requests
+            ),
         ]
         samples += [Sample(name, value) for name, value in source.counts().items()]
         for shard, task in source.dispatcher.shards.items():
--- a/src/poplaryard/ticket_check.py
+++ b/src/poplaryard/ticket_check.py
@@ -87,14 +87,14 @@
 
 
 def _changes(config: Configuration, ticket: Ticket) -> t.Iterator[str]:
-    for key, value in tickets.changes_of(ticket).items():
+    for key, value in tickets.encode_changes(ticket).items():
         spec = tickets.lookup(config, key)
         if spec is None:
             yield f"{key} is {'not there already' if value is None else 'new'}."
         elif value is None:
             yield f"{key} is removed."
         else:
-            found = differences(tickets.object_of(spec), value)
+            found = differences(tickets.encode_object(spec), value)
             yield f"{key}: {'; '.join(found) or 'nothing changes'}."
 
 
@@ -130,10 +130,10 @@
 def _name_warnings(config: Configuration, ticket: Ticket) -> t.Iterator[str]:
     """Warn of a new or removed name that looks like an existing one."""
     names: dict[str, list[str]] = {}
-    for key, _spec in tickets.objects_of(config):
+    for key, _spec in tickets.iter_objects(config):
         kind, name = key.split("/", 1)
         names.setdefault(kind, []).append(name)
-    for key, value in tickets.changes_of(ticket).items():
+    for key, value in tickets.encode_changes(ticket).items():
         kind, name = key.split("/", 1)
         if tickets.lookup(config, key) is not None:
             continue
--- a/src/poplaryard/tickets.py
+++ b/src/poplaryard/tickets.py
@@ -13,7 +13,7 @@
 from .codes import Code
 from .configuration import Configuration, Policy
 from .exceptions import CallError
-from .ticket_encoding import object_of
+from .ticket_encoding import encode_object
 from .ticket_objects import KINDS, AnyObject, Removal, Spec, parse_object
 
 __all__ = [
@@ -21,15 +21,15 @@
     "POLICY_KEY",
     "Ticket",
     "apply",
-    "changes_of",
+    "encode_changes",
     "check_shards",
     "check_vms",
     "decode",
     "digest",
     "encode",
     "lookup",
-    "object_of",
-    "objects_of",
+    "encode_object",
+    "iter_objects",
     "parse",
     "size_of",
     "with_objects",
@@ -180,10 +180,10 @@
     return text.encode()
 
 
-def changes_of(ticket: Ticket) -> dict[str, dict[str, t.Any] | None]:
+def encode_changes(ticket: Ticket) -> dict[str, dict[str, t.Any] | None]:
     """Return the stored form of each object of a ticket; None for a removal."""
     return {
-        key: None if isinstance(item, Removal) else object_of(item.spec())
+        key: None if isinstance(item, Removal) else encode_object(item.spec())
         for key, item in zip(ticket.object_keys(), ticket.objects, strict=True)
     }
 
@@ -239,7 +239,7 @@
     return found
 
 
-def objects_of(config: Configuration) -> t.Iterator[tuple[str, Spec]]:
+def iter_objects(config: Configuration) -> t.Iterator[tuple[str, Spec]]:
     """Yield ``kind/name`` and the state of each object of a configuration."""
     for kind, field in _FIELDS.items():
         for name, spec in getattr(config, field).items():
@@ -253,7 +253,7 @@
     return {
         "format": FORMAT,
         "number": config.number,
-        "objects": [object_of(spec) for _, spec in objects_of(config)],
+        "objects": [encode_object(spec) for _, spec in iter_objects(config)],
     }
 
 
