--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -351,11 +351,11 @@
                 if item is None:
                     continue
                 entry = (records.cancel_key(group, job_id), b"1", 0)
-                found = await self._storage.commit(Transaction(puts=[entry]))
+                result = await self._storage.commit(Transaction(puts=[entry]))
             except (StoreDown, StoreReplyLost, LeaseLost) as exc:
                 raise Unavailable(exc.code, exc.detail) from exc
             logger.info("job cancelled", extra={"request": job_id})
-            revision = found if isinstance(found, int) else 0
+            revision = result if isinstance(result, int) else 0
             stored = records.StoredJobs(group, revision, cancelled=[job_id])
             self._notify_owner(stored)
             return True
@@ -374,10 +374,10 @@
             count = owner.pending(queue.name)
             if count is not None:
                 return count
-        found = await self._ask_owner(queue.group, {"queue": queue.name})
-        if found is None or not isinstance(found.get("pending"), int):
+        result = await self._query_owner(queue.group, {"queue": queue.name})
+        if result is None or not isinstance(result.get("pending"), int):
             raise _unavailable("the owner of the group does not answer")
-        return found["pending"]
+        return result["pending"]
 
     def _notify_owners(self, specs: list[JobSpec], revision: int) -> None:
         """Notify the groups' owners of stored jobs, without waiting for an answer."""
@@ -433,11 +433,11 @@
         owner = self.owners.get(group)
         if owner is not None and owner.loaded:
             return owner.state(job_id)
-        found = await self._ask_owner(group, {"job": job_id})
-        state = found.get("state") if found else None
+        result = await self._query_owner(group, {"job": job_id})
+        state = result.get("state") if result else None
         return JobState(state) if state else None
 
-    async def _ask_owner(self, group: str, query: t.Any) -> dict[str, t.Any] | None:
+    async def _query_owner(self, group: str, query: t.Any) -> dict[str, t.Any] | None:
         claim = self._claims.get(group)
         if claim is None or claim[0].process == self.cfg.process:
             return None
@@ -450,16 +450,16 @@
             extra = {"peer": claim[0].process, "reason": exc.detail}
             logger.info("owner did not answer", extra=extra)
             return None
-        found = reply.body
-        if reply.status != 200 or not isinstance(found, dict):
+        answer = reply.body
+        if reply.status != 200 or not isinstance(answer, dict):
             return None
-        return found if found.get("owner") else None
+        return answer if answer.get("owner") else None
 
     async def _stored_state(self, group: str, job_id: str) -> JobState | None:
         try:
-            kept = await self._storage.get(records.progress_key(group, job_id))
-            if kept is not None:
-                return records.decode_progress(kept.value).state
+            progress = await self._storage.get(records.progress_key(group, job_id))
+            if progress is not None:
+                return records.decode_progress(progress.value).state
             job = await self._storage.get(records.job_key(group, job_id))
         except (StoreDown, StoreReplyLost) as exc:
             raise Unavailable(exc.code, exc.detail) from exc
@@ -652,7 +652,7 @@
             puts=[(key, records.encode(claim), self._lease.lease)],
         )
         try:
-            found = await self._storage.commit(transaction)
+            result = await self._storage.commit(transaction)
         except LeaseLost:
             self._lease.drop()
             return
@@ -661,10 +661,10 @@
             logger.warning("claim failed", extra=extra)
             await asyncio.sleep(CLAIM_STEP_S)
             return
-        if not isinstance(found, int):
+        if not isinstance(result, int):
             await asyncio.sleep(CLAIM_STEP_S)
             return
-        await self._take_over(group, claim, found)
+        await self._take_over(group, claim, result)
 
     async def _take_over(self, group: str, claim: records.Claim, revision: int) -> None:
         began = time.monotonic()
