--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -24,7 +24,7 @@
 from .head import (
     HEAD_KEY,
     MAX_VALUE_BYTES,
-    Accepted,
+    AcceptedTicket,
     Head,
     history_key,
     object_key,
@@ -105,7 +105,7 @@
     async def _round(self, filing: Filing) -> FileResult | None:
         """Try once; None if the head was changed by another ticket meanwhile."""
         head, entry = await read_head(self._store)
-        found = head.find(filing.ticket.uid)
+        found = head.entry_by_uid(filing.ticket.uid)
         if found is None:
             await self._validate(filing, head)
             found = await self._claim_uid(filing, head)
@@ -129,7 +129,7 @@
             tickets.check_shards(state.config, config)
             tickets.check_vms(config)
 
-    async def _claim_uid(self, filing: Filing, head: Head) -> Accepted | None:
+    async def _claim_uid(self, filing: Filing, head: Head) -> AcceptedTicket | None:
         """Record under the uid from which number on it is tried.
 
         Returns the entry of an earlier attempt that was accepted and has already left
@@ -156,7 +156,9 @@
                     self._lease.forget()
         raise StoreDown()
 
-    async def _accepted_before(self, filing: Filing, head: Head) -> Accepted | None:
+    async def _accepted_before(
+        self, filing: Filing, head: Head
+    ) -> AcceptedTicket | None:
         """Return the entry of the uid if it is in the history behind the window."""
         assert filing.record is not None
         first = head.tickets[0].number if head.tickets else 1
@@ -175,7 +177,7 @@
                 )
             for item in block.value["tickets"]:
                 if item["uid"] == filing.ticket.uid:
-                    return Accepted.from_json(item)
+                    return AcceptedTicket.from_json(item)
         return None
 
     async def _refuse_stale(self, filing: Filing, head: Head) -> None:
@@ -184,7 +186,7 @@
             detail = f"The ticket is based on number {base}, but the last number is "
             raise CallError(Code.TICKET_INVALID, f"{detail}{head.number}.")
         for key in filing.objects:
-            if head.changed_at(key) > base:
+            if head.last_change(key) > base:
                 raise CallError(
                     Code.TICKET_CONFLICT, await self._conflict(filing, head, key)
                 )
@@ -198,8 +200,8 @@
 
     async def _conflict(self, filing: Filing, head: Head, key: str) -> str:
         """Return who won, what changed, and how to proceed."""
-        number = head.changed_at(key)
-        winner = head.entry(number)
+        number = head.last_change(key)
+        winner = head.entry_by_number(number)
         who = f"Ticket {number}"
         if winner is not None:
             who += f" of {winner.author} ({winner.note or 'no note'})"
@@ -217,10 +219,10 @@
 
     async def _prepare(self, filing: Filing, head: Head) -> Head:
         """Write everything that the next head refers to, and return that head."""
-        block = head.sealed_block()
+        block = head.full_block()
         if block:
             await self._keep_block(block)
-            head = head.without_block()
+            head = head.without_full_block()
         number = head.number + 1
         if filing.planned <= head.snapshot:
             # Not written yet, or so long ago that the values may have been deleted.
@@ -232,10 +234,10 @@
         }
         last = head.tickets[-1].at if head.tickets else 0.0
         at = max(self._clock.wall(), last)
-        entry = Accepted.of(number, filing.ticket, filing.digest, at)
-        return head.followed_by(entry, refs)
+        entry = AcceptedTicket.from_ticket(number, filing.ticket, filing.digest, at)
+        return head.with_ticket(entry, refs)
 
-    async def _keep_block(self, block: t.Sequence[Accepted]) -> None:
+    async def _keep_block(self, block: t.Sequence[AcceptedTicket]) -> None:
         """Write the tickets that leave the head, for as long as their uids count."""
         key = history_key(block[0].number)
         value = {"format": tickets.FORMAT, "tickets": [e.to_json() for e in block]}
--- a/src/poplaryard/compaction.py
+++ b/src/poplaryard/compaction.py
@@ -5,7 +5,14 @@
 
 from .config_loader import Loader, read_head, split_snapshot
 from .exceptions import StoreConflict, StoreReplyLost
-from .head import HEAD_KEY, MAX_VALUE_BYTES, Head, number_of, object_key, snapshot_key
+from .head import (
+    HEAD_KEY,
+    MAX_VALUE_BYTES,
+    Head,
+    object_key,
+    snapshot_key,
+    ticket_number,
+)
 from .store import Entry, Store
 
 __all__ = ["SNAPSHOT_EVERY", "Compactor"]
@@ -101,12 +108,12 @@
 
 def _object_is_stale(entry: Entry, head: Head) -> bool:
     key, suffix = entry.key.removeprefix("config/object/").rsplit("/", 1)
-    if number_of(suffix) > head.snapshot:
+    if ticket_number(suffix) > head.snapshot:
         return False
     ref = head.objects.get(key)
     # A value written early may belong to a ticket accepted after the snapshot.
     in_force = ref is not None and object_key(key, ref) == entry.key
-    return not (in_force and number_of(t.cast(str, ref)) > head.snapshot)
+    return not (in_force and ticket_number(t.cast(str, ref)) > head.snapshot)
 
 
 def _snapshot_is_stale(entry: Entry, head: Head) -> bool:
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -9,7 +9,7 @@
 from .exceptions import CallError
 from .head import (
     HEAD_KEY,
-    Accepted,
+    AcceptedTicket,
     ConfigState,
     Delta,
     Head,
@@ -54,12 +54,12 @@
     The ticket itself is None once its text is older than the retention time.
     """
     head, _entry = await read_head(store)
-    entry = head.entry(number)
+    entry = head.entry_by_number(number)
     if entry is None and 0 < number <= head.number:
         block = await store.get(history_key(number))
         items = [] if block is None else block.value["tickets"]
         found = [item for item in items if item["number"] == number]
-        entry = Accepted.from_json(found[0]) if found else None
+        entry = AcceptedTicket.from_json(found[0]) if found else None
     if entry is None:
         return None
     record = await store.get(ticket_key(entry.uid))
@@ -105,7 +105,7 @@
 
     def _advance(self, head: Head, delta: Delta) -> None:
         try:
-            state = self.state.after(delta)
+            state = self.state.apply_delta(delta)
         except (ValueError, KeyError, TypeError) as exc:
             detail = "The store holds an object that this version cannot read."
             raise CallError(Code.TICKET_INVALID, detail) from exc
@@ -118,7 +118,7 @@
         held = self.state.refs
         wanted = {key: ref for key, ref in head.objects.items() if held.get(key) != ref}
         found: _Found = {
-            key: (f"{head.changed_at(key)}-", None)
+            key: (f"{head.last_change(key)}-", None)
             for key in held
             if key not in head.objects
         }
--- a/src/poplaryard/configuration.py
+++ b/src/poplaryard/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration in force, as data classes; `tickets` validates what enters it."""
+"""Data classes of the configuration; `tickets` validates and applies changes to it."""
 
 import typing as t
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VmSpec:
-    """One worker VM as named by a VM group or the platform's list."""
+    """Worker VM from a VM group or from the platform's list of VMs."""
 
     name: str
     data_centre: str
@@ -31,12 +31,14 @@
 
 @dataclass(frozen=True, slots=True)
 class VmGroupSpec:
-    """Group of worker VMs of one shape.
+    """Group of worker VMs.
 
     Attributes
     ----------
     leaving : frozenset of str
-        Names of VMs that get no new work.
+        Names of VMs that are being drained and get no new work.
+    reserved : Resources
+        Part of each VM's capacity that gets no work.
     """
 
     name: str
@@ -47,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """Long-lived service whose replicas are executors for requests."""
+    """Long-running service whose replicas execute requests."""
 
     name: str
     team: str
@@ -62,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchSpec:
-    """Standing batch job filed by ticket."""
+    """Batch job defined by a ticket."""
 
     name: str
     team: str
@@ -74,14 +76,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TeamSpec:
-    """Team with its guaranteed share and its hard limit.
+    """Team with its fair-share weight and its hard limit.
 
     Attributes
     ----------
     weight : float
-        Weight for dominant-resource fairness.
+        Weight in dominant-resource fairness (DRF).
     limit : Resources or None
-        Most that the team may hold; None for no limit.
+        Most resources that the team may hold at a time; None for no limit.
     """
 
     name: str
@@ -91,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkKindSpec:
-    """Class of work with defaults for requests that name it."""
+    """Kind of work, with the defaults for requests of this kind."""
 
     name: str
     target: str = ""
@@ -103,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Policy figures set by ticket."""
+    """Scheduling policy parameters, set by ticket."""
 
     shards_per_data_centre: int = 1
     headroom: float = 0.0
@@ -116,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """Whole configuration after the ticket `number`."""
+    """Complete configuration, as of ticket `number`; 0 before the first ticket."""
 
     number: int = 0
     services: t.Mapping[str, ServiceSpec] = field(default_factory=dict)
@@ -127,14 +129,14 @@
     policy: Policy = field(default_factory=Policy)
 
     def vms(self, data_centre: str) -> list[VmSpec]:
-        """Return the worker VMs of one data centre, in name order."""
-        found = (
+        """Return the worker VMs of a data centre, sorted by name."""
+        vms = (
             vm
             for group in self.vm_groups.values()
             for vm in group.vms
             if vm.data_centre == data_centre
         )
-        return sorted(found, key=lambda vm: vm.name)
+        return sorted(vms, key=lambda vm: vm.name)
 
     def data_centres(self) -> list[str]:
         """Return the names of the data centres that have worker VMs, sorted."""
--- a/src/poplaryard/filing.py
+++ b/src/poplaryard/filing.py
@@ -6,7 +6,7 @@
 from . import tickets
 from .codes import Code
 from .exceptions import CallError
-from .head import MAX_VALUE_BYTES, Accepted, Head
+from .head import MAX_VALUE_BYTES, AcceptedTicket, Head
 from .store import Entry
 from .tickets import Ticket
 
@@ -47,7 +47,7 @@
     code: Code
     number: int = 0
     detail: str = ""
-    accepted: Accepted | None = None
+    accepted: AcceptedTicket | None = None
     head: Head | None = None
 
     @property
@@ -129,14 +129,14 @@
 )
 
 
-def first_answer(filing: Filing, found: Accepted, head: Head) -> FileResult:
+def first_answer(filing: Filing, found: AcceptedTicket, head: Head) -> FileResult:
     """Return the answer to a uid that was accepted before."""
     if found.digest != filing.digest:
         return FileResult(Code.TICKET_REUSED, 0, _REUSED)
     return accepted_result(found, head)
 
 
-def accepted_result(entry: Accepted, head: Head) -> FileResult:
+def accepted_result(entry: AcceptedTicket, head: Head) -> FileResult:
     """Return the answer to an accepted ticket."""
     detail = f"The ticket is accepted as number {entry.number}."
     return FileResult(Code.TICKET_ACCEPTED, entry.number, detail, entry, head)
--- a/src/poplaryard/rollout.py
+++ b/src/poplaryard/rollout.py
@@ -254,7 +254,7 @@
         if number <= self.number:
             return []
         try:
-            state = self.state.after(msg.delta)
+            state = self.state.apply_delta(msg.delta)
         except (ValueError, KeyError, TypeError):
             # A peer of a newer version may send kinds that are unknown here.
             self.unreadable += 1
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -109,7 +109,7 @@
             removal = {"kind": "service", "name": "svc-1", "remove": True}
             self.assertTrue((await self.filer.file(ticket("uid-x", removal))).ok)
             new = await Loader(self.store).refresh()
-            after = old.after(new.delta(2))
+            after = old.apply_delta(new.delta(2))
             self.assertEqual(["svc-2"], list(after.config.services))
 
         asyncio.run(run())
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -38,7 +38,7 @@
     number = state.number + 1
     value = service(name, replicas) if replicas else None
     ref = f"{number}-{replicas}" if replicas else f"{number}-"
-    return state.after(
+    return state.apply_delta(
         Delta(state.number or 0, number, {f"service/{name}": (ref, value)})
     )
 
@@ -351,9 +351,9 @@
         for base in range(0, 60, 3):
             for held in range(base, 60, 4):
                 for number in range(held + 1, 60, 5):
-                    after = states[held].after(states[number].delta(base))
+                    after = states[held].apply_delta(states[number].delta(base))
                     self.assertEqual(states[number], after)
-        self.assertIs(None, states[9].after(states[8].delta(0)))
+        self.assertIs(None, states[9].apply_delta(states[8].delta(0)))
 
     def test_gap_is_refused(self):
         """Guards against a state with a hole where a lost delta was."""
@@ -375,7 +375,9 @@
             text = json.dumps(wire.encode(msg, 0.0))
             found = wire.decode(json.loads(text), 0.0)
             if isinstance(msg, PeerDelta):
-                self.assertEqual(world.states[-1], world.states[2].after(found.delta))
+                self.assertEqual(
+                    world.states[-1], world.states[2].apply_delta(found.delta)
+                )
             else:
                 self.assertEqual(msg, found)
 
