--- a/src/poplaryard/workload/relay.py
+++ b/src/poplaryard/workload/relay.py
@@ -44,7 +44,17 @@
 
 
 class _Outcome(msgspec.Struct):
-    """Result of a relayed call, or the error, a key of `_ERRORS`."""
+    """Result of a relayed call.
+
+    Attributes
+    ----------
+    error : str
+        Key of `_ERRORS`; empty for none.
+    revision : int
+        Revision, or the lease granted by "grant".
+    flag : bool
+        Whether "commit" wrote, or "renew" renewed.
+    """
 
     error: str = ""
     item: Item | None = None
@@ -281,7 +291,7 @@
         body = msgspec.json.encode(call)
         url = f"http://{address}{RELAY_PATH}"
         try:
-            reply = await self._client.raw("POST", url, body, timeout_s)
+            reply = await self._client.request_raw("POST", url, body, timeout_s)
         except PoplaryardError as exc:
             if call.call == "commit" and exc.code is not Code.PEER_UNREACHABLE:
                 self._last_peer = ""
