--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -284,7 +284,7 @@
         self, filing: Filing, following: Head, version: int
     ) -> FileResult | None:
         value = following.to_json()
-        if tickets.size_of(value) > MAX_VALUE_BYTES:
+        if tickets.json_size(value) > MAX_VALUE_BYTES:
             detail = "There are too many objects for one head record; remove some."
             raise CallError(Code.TICKET_TOO_LARGE, detail)
         try:
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -178,7 +178,7 @@
     size = 0
     for key, ref in sorted(state.refs.items()):
         value = tickets.encode_object(tickets.lookup(state.config, key))
-        length = tickets.size_of(value) + len(key) + len(ref) + 16
+        length = tickets.json_size(value) + len(key) + len(ref) + 16
         if size + length > max_bytes and parts[-1]:
             parts.append({})
             size = 0
--- a/src/poplaryard/filing.py
+++ b/src/poplaryard/filing.py
@@ -161,11 +161,11 @@
     objects: t.Mapping[str, dict[str, t.Any] | None], whole: dict[str, t.Any]
 ) -> None:
     """Refuse a ticket or an object that the store would not take."""
-    if tickets.size_of(whole) > MAX_VALUE_BYTES:
+    if tickets.json_size(whole) > MAX_VALUE_BYTES:
         detail = f"The ticket is larger than {MAX_VALUE_BYTES // 1000} KB; split it."
         raise CallError(Code.TICKET_TOO_LARGE, detail)
     for key, value in objects.items():
-        if tickets.size_of(value) > MAX_VALUE_BYTES:
+        if tickets.json_size(value) > MAX_VALUE_BYTES:
             detail = f"{key} is larger than {MAX_VALUE_BYTES // 1000} KB; split it."
             raise CallError(Code.TICKET_TOO_LARGE, detail)
 
--- a/src/poplaryard/ticket_encoding.py
+++ b/src/poplaryard/ticket_encoding.py
@@ -1,4 +1,4 @@
-"""Stored JSON form of the objects of a configuration."""
+"""Encoding of configuration objects into the JSON values kept in the store."""
 
 import functools
 import typing as t
@@ -17,18 +17,18 @@
 __all__ = ["encode_object"]
 
 
-def _cores(need: Resources) -> dict[str, t.Any]:
+def _encode_resources(amount: Resources) -> dict[str, t.Any]:
     return {
-        "cpu": f"{need.cpu_m}m",
-        "memory": f"{need.mem_mb} MB",
-        "gpus": need.gpus,
+        "cpu": f"{amount.cpu_m}m",
+        "memory": f"{amount.mem_mb} MB",
+        "gpus": amount.gpus,
     }
 
 
 @functools.singledispatch
 def encode_object(spec: t.Any) -> dict[str, t.Any]:
-    """Return the stored form of an object, which `parse_object` reads back."""
-    raise TypeError(f"{type(spec).__name__} is no configuration object")
+    """Return the stored form of an object; `parse_object` is the inverse."""
+    raise TypeError(f"{type(spec).__name__} is not a configuration object")
 
 
 @encode_object.register
@@ -38,7 +38,7 @@
         "name": spec.name,
         "team": spec.team,
         "replicas": spec.replicas,
-        **_cores(spec.need),
+        **_encode_resources(spec.need),
         "slots": spec.slots,
         "connections": spec.connections,
         "group": spec.group,
@@ -54,7 +54,7 @@
         "name": spec.name,
         "team": spec.team,
         "tasks": spec.tasks,
-        **_cores(spec.need),
+        **_encode_resources(spec.need),
         "gang": spec.gang,
         "declared": f"{spec.declared_s} s",
     }
@@ -62,14 +62,15 @@
 
 @encode_object.register
 def _(spec: VmGroupSpec) -> dict[str, t.Any]:
-    # The most frequent size is the group's, so that a large group stays small.
-    sizes = [vm.capacity for vm in spec.vms]
-    common = max(set(sizes), key=sizes.count) if sizes else Resources()
+    # The most frequent capacity is stored once for the group, and only VMs that differ
+    # store their own. This keeps the value of a large group small.
+    capacities = [vm.capacity for vm in spec.vms]
+    common = max(set(capacities), key=capacities.count) if capacities else Resources()
     return {
         "kind": "vm_group",
         "name": spec.name,
-        **_cores(common),
-        "vms": [_vm_of(vm, common) for vm in spec.vms],
+        **_encode_resources(common),
+        "vms": [_encode_vm(vm, common) for vm in spec.vms],
         "leaving": sorted(spec.leaving),
         "reserved_cpu": f"{spec.reserved.cpu_m}m",
         "reserved_memory": f"{spec.reserved.mem_mb} MB",
@@ -77,28 +78,30 @@
     }
 
 
-def _vm_of(vm: VmSpec, common: Resources) -> dict[str, t.Any]:
+def _encode_vm(vm: VmSpec, common: Resources) -> dict[str, t.Any]:
     entry = {
         "name": vm.name,
         "data_centre": vm.data_centre,
         "rack": vm.rack,
         "address": vm.address,
     }
-    return entry if vm.capacity == common else {**entry, **_cores(vm.capacity)}
+    return (
+        entry if vm.capacity == common else {**entry, **_encode_resources(vm.capacity)}
+    )
 
 
 @encode_object.register
 def _(spec: TeamSpec) -> dict[str, t.Any]:
-    found: dict[str, t.Any] = {
+    value: dict[str, t.Any] = {
         "kind": "team",
         "name": spec.name,
         "weight": spec.weight,
     }
     if spec.limit is not None:
-        found["limit_cpu"] = f"{spec.limit.cpu_m}m"
-        found["limit_memory"] = f"{spec.limit.mem_mb} MB"
-        found["limit_gpus"] = spec.limit.gpus
-    return found
+        value["limit_cpu"] = f"{spec.limit.cpu_m}m"
+        value["limit_memory"] = f"{spec.limit.mem_mb} MB"
+        value["limit_gpus"] = spec.limit.gpus
+    return value
 
 
 @encode_object.register
--- a/src/poplaryard/ticket_objects.py
+++ b/src/poplaryard/ticket_objects.py
@@ -1,4 +1,7 @@
-"""Models of the objects in a ticket, with units such as "8 cores" and "32 GB"."""
+"""Pydantic models of the objects in a ticket.
+
+Amounts are written with a unit, such as "8 cores", "32 GB" and "30 s".
+"""
 
 import re
 import typing as t
@@ -30,52 +33,55 @@
     ServiceSpec | BatchSpec | VmGroupSpec | TeamSpec | WorkKindSpec | Policy
 )
 
+# Factors to thousandths of a core, MB and seconds. MB and MiB are the same here.
 _CPU_UNITS = {"": 1000, "core": 1000, "cores": 1000, "m": 1}
 _MEMORY_UNITS = {"mb": 1, "mib": 1, "gb": 1024, "gib": 1024, "tb": 1024 * 1024}
 _TIME_UNITS = {"": 1.0, "ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
 _QUANTITY = re.compile(r"\s*([0-9]+(?:\.[0-9]+)?)\s*([A-Za-z]*)\s*")
 
 
-def _quantity(value: t.Any, units: t.Mapping[str, float], example: str) -> float:
+def _parse_quantity(value: t.Any, units: t.Mapping[str, float], example: str) -> float:
     match = _QUANTITY.fullmatch(str(value))
     if isinstance(value, bool) or match is None or match[2].lower() not in units:
         raise ValueError(f'must be an amount with a unit, such as "{example}"')
     return float(match[1]) * units[match[2].lower()]
 
 
-def _whole(amount: float, unit: str) -> int:
+def _require_whole(amount: float, unit: str) -> int:
     if amount != int(amount):
         raise ValueError(f"must be a whole number of {unit}")
     return int(amount)
 
 
-def _cpu(value: t.Any) -> int:
-    return _whole(_quantity(value, _CPU_UNITS, "8 cores"), "thousandths of a core")
+def _parse_cpu(value: t.Any) -> int:
+    return _require_whole(
+        _parse_quantity(value, _CPU_UNITS, "8 cores"), "thousandths of a core"
+    )
 
 
-def _memory(value: t.Any) -> int:
-    return _whole(_quantity(value, _MEMORY_UNITS, "32 GB"), "MB")
+def _parse_memory(value: t.Any) -> int:
+    return _require_whole(_parse_quantity(value, _MEMORY_UNITS, "32 GB"), "MB")
 
 
-def _seconds(value: t.Any) -> float:
-    return _quantity(value, _TIME_UNITS, "30 s")
+def _parse_seconds(value: t.Any) -> float:
+    return _parse_quantity(value, _TIME_UNITS, "30 s")
 
 
 Cpu = t.Annotated[
     int,
-    pydantic.BeforeValidator(_cpu),
+    pydantic.BeforeValidator(_parse_cpu),
     pydantic.PlainSerializer(lambda value: f"{value}m"),
     Field(ge=0, le=10**12),
 ]
 Memory = t.Annotated[
     int,
-    pydantic.BeforeValidator(_memory),
+    pydantic.BeforeValidator(_parse_memory),
     pydantic.PlainSerializer(lambda value: f"{value} MB"),
     Field(ge=0, le=10**12),
 ]
 Seconds = t.Annotated[
     float,
-    pydantic.BeforeValidator(_seconds),
+    pydantic.BeforeValidator(_parse_seconds),
     pydantic.PlainSerializer(lambda value: f"{value} s"),
     Field(ge=0.001, le=86_400 * 31),
 ]
@@ -98,7 +104,7 @@
 
 
 class ServiceObject(_Sized):
-    """Whole state of a service."""
+    """State of a service in a ticket."""
 
     kind: t.Literal["service"]
     name: Name
@@ -111,7 +117,7 @@
     drain: Seconds = 10.0
 
     def spec(self) -> ServiceSpec:
-        """Return the configuration's form."""
+        """Return the `ServiceSpec` of this object."""
         return ServiceSpec(
             name=self.name,
             team=self.team,
@@ -126,7 +132,7 @@
 
 
 class BatchObject(_Sized):
-    """Whole state of a standing batch job."""
+    """State of a batch job in a ticket."""
 
     kind: t.Literal["batch"]
     name: Name
@@ -136,7 +142,7 @@
     declared: Seconds = 60.0
 
     def spec(self) -> BatchSpec:
-        """Return the configuration's form."""
+        """Return the `BatchSpec` of this object."""
         return BatchSpec(
             name=self.name,
             team=self.team,
@@ -148,7 +154,7 @@
 
 
 class VmEntry(_Model):
-    """One VM of a group; sizes default to those of the group."""
+    """VM of a group; `cpu`, `memory` and `gpus` default to those of the group."""
 
     name: Name
     data_centre: Name
@@ -160,7 +166,10 @@
 
 
 class VmGroupObject(_Sized):
-    """Whole state of a group of VMs, with the size of one VM."""
+    """State of a VM group in a ticket.
+
+    `cpu`, `memory` and `gpus` are the capacity of each VM that does not set its own.
+    """
 
     kind: t.Literal["vm_group"]
     name: Name
@@ -171,7 +180,7 @@
     reserved_gpus: Count = 0
 
     @pydantic.model_validator(mode="after")
-    def _check(self) -> t.Self:
+    def _check_vms(self) -> t.Self:
         names = {vm.name for vm in self.vms}
         if len(names) < len(self.vms):
             raise ValueError("lists a VM twice")
@@ -183,7 +192,7 @@
         return self
 
     def spec(self) -> VmGroupSpec:
-        """Return the configuration's form."""
+        """Return the `VmGroupSpec` of this object."""
         return VmGroupSpec(
             name=self.name,
             vms=tuple(self._vm(vm) for vm in self.vms),
@@ -203,7 +212,7 @@
 
 
 class TeamObject(_Model):
-    """Whole state of a team."""
+    """State of a team in a ticket."""
 
     kind: t.Literal["team"]
     name: Name
@@ -213,14 +222,14 @@
     limit_gpus: Count | None = None
 
     @pydantic.model_validator(mode="after")
-    def _check(self) -> t.Self:
+    def _check_limits(self) -> t.Self:
         limits = (self.limit_cpu, self.limit_memory, self.limit_gpus)
         if None in limits and any(limit is not None for limit in limits):
             raise ValueError("needs all of limit_cpu, limit_memory and limit_gpus")
         return self
 
     def spec(self) -> TeamSpec:
-        """Return the configuration's form."""
+        """Return the `TeamSpec` of this object."""
         limit = None
         if self.limit_cpu is not None:
             limit = Resources(
@@ -230,7 +239,7 @@
 
 
 class WorkKindObject(_Model):
-    """Whole state of a class of work."""
+    """State of a kind of work in a ticket."""
 
     kind: t.Literal["work_kind"]
     name: Name
@@ -241,7 +250,7 @@
     max_attempts: t.Annotated[int, Field(strict=True, ge=1, le=100)] = 3
 
     def spec(self) -> WorkKindSpec:
-        """Return the configuration's form."""
+        """Return the `WorkKindSpec` of this object."""
         return WorkKindSpec(
             self.name,
             self.target,
@@ -253,7 +262,7 @@
 
 
 class PolicyObject(_Model):
-    """All policy figures; those not given take their defaults."""
+    """Policy parameters in a ticket; those not given take their defaults."""
 
     kind: t.Literal["policy"]
     name: t.Literal["policy"] = "policy"
@@ -266,7 +275,7 @@
     urgent: Seconds = 2.3
 
     def spec(self) -> Policy:
-        """Return the configuration's form."""
+        """Return the `Policy` of this object."""
         return Policy(
             shards_per_data_centre=self.shards_per_data_centre,
             headroom=self.headroom,
@@ -279,7 +288,7 @@
 
 
 class Removal(_Model):
-    """Removal of an object; a removed policy returns to its defaults."""
+    """Removal of an object in a ticket; a removed policy returns to its defaults."""
 
     kind: t.Literal["service", "batch", "vm_group", "team", "work_kind", "policy"]
     name: Name = "policy"
@@ -296,7 +305,7 @@
 }
 
 
-def _tag(value: t.Any) -> str | None:
+def _discriminator(value: t.Any) -> str | None:
     if isinstance(value, pydantic.BaseModel):
         return "removal" if isinstance(value, Removal) else getattr(value, "kind", None)
     if not isinstance(value, dict):
@@ -312,17 +321,19 @@
     | t.Annotated[WorkKindObject, pydantic.Tag("work_kind")]
     | t.Annotated[PolicyObject, pydantic.Tag("policy")]
     | t.Annotated[Removal, pydantic.Tag("removal")],
-    pydantic.Discriminator(_tag),
+    pydantic.Discriminator(_discriminator),
 ]
 
 
 def parse_object(value: t.Mapping[str, t.Any]) -> Spec:
-    """Return the configuration's form of one stored object.
+    """Return the configuration object of a stored JSON value.
 
     Raises
     ------
     pydantic.ValidationError
-        If the object is not valid; `KeyError` if its kind is unknown.
+        If the object is not valid.
+    KeyError
+        If its kind is missing or unknown.
     """
     model: t.Any = KINDS[value["kind"]].model_validate(value)
     return model.spec()
--- a/src/poplaryard/tickets.py
+++ b/src/poplaryard/tickets.py
@@ -1,4 +1,7 @@
-"""Tickets: reading them, applying them, and encoding a whole configuration."""
+"""Parsing and applying of tickets, and the JSON form of a complete configuration.
+
+A ticket is a numbered change of the configuration that sets or removes whole objects.
+"""
 
 import difflib
 import hashlib
@@ -31,15 +34,15 @@
     "encode_object",
     "iter_objects",
     "parse",
-    "size_of",
+    "json_size",
     "with_objects",
 ]
 
 FORMAT = 1
 POLICY_KEY = "policy/policy"
 
-# Kind of object to the mapping of the configuration that holds it.
-_FIELDS = {
+# Kind of object to the attribute of `Configuration` that holds such objects by name.
+_CONFIG_FIELDS = {
     "service": "services",
     "batch": "batches",
     "vm_group": "vm_groups",
@@ -49,14 +52,18 @@
 
 
 class Ticket(pydantic.BaseModel):
-    """Change of whole objects, as an operator files it.
+    """Change of the configuration as an operator files it, without its number.
 
     Attributes
     ----------
     uid : str
-        Id chosen by the operator's client; filing it again gives the first answer.
+        Id chosen by the operator's client; filing the same ticket again under the same
+        uid returns the number of the accepted ticket.
     based_on : int or None
-        Number of the last ticket that the author had seen.
+        Number of the last ticket that the author has seen; None for the last one when
+        the ticket is filed.
+    objects : tuple
+        New state of each changed object, or its `Removal`.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
@@ -69,27 +76,28 @@
     objects: t.Annotated[tuple[AnyObject, ...], Field(max_length=1000)]
 
     @pydantic.model_validator(mode="after")
-    def _check(self) -> t.Self:
+    def _check_objects(self) -> t.Self:
         if not self.objects:
             raise ValueError("names no object")
         keys = self.object_keys()
-        twice = sorted({key for key in keys if keys.count(key) > 1})
-        if twice:
-            raise ValueError(f"names the object {twice[0]} twice")
+        duplicates = sorted({key for key in keys if keys.count(key) > 1})
+        if duplicates:
+            raise ValueError(f"names the object {duplicates[0]} twice")
         return self
 
     def object_keys(self) -> list[str]:
-        """Return ``kind/name`` of each object, in the ticket's order."""
+        """Return the key ``kind/name`` of each object, in the ticket's order."""
         return [f"{item.kind}/{item.name}" for item in self.objects]
 
 
 def parse(value: str | bytes | t.Mapping[str, t.Any]) -> Ticket:
-    """Return the ticket that a text or a decoded JSON value holds.
+    """Return the ticket in a JSON text or a decoded JSON value.
 
     Raises
     ------
     CallError
-        `TICKET_INVALID` with one plain sentence per fault, or a code of `jsonc`.
+        `TICKET_INVALID` with one sentence for each error, at most 20; or a code of
+        `jsonc` if the text cannot be parsed.
     """
     if isinstance(value, str | bytes):
         value = jsonc.loads(value)
@@ -98,10 +106,10 @@
     try:
         return Ticket.model_validate(value)
     except pydantic.ValidationError as exc:
-        raise CallError(Code.TICKET_INVALID, _sentences(exc, value)) from exc
+        raise CallError(Code.TICKET_INVALID, _error_detail(exc, value)) from exc
 
 
-_PLAIN = {
+_ERROR_TEXTS = {
     "missing": "is missing",
     "extra_forbidden": "is not a known field",
     "union_tag_invalid": "has an unknown kind",
@@ -109,26 +117,26 @@
     "int_type": "must be a whole number without quotes",
     "string_type": "must be text in quotes",
 }
-_PATTERNS = {
+_PATTERN_ERROR_TEXTS = {
     "uid": "must have 4 to 80 letters, digits, dots, dashes or underscores",
     "address": "must be an IP address and a port, such as 10.0.0.1:7000",
 }
-_NAME = "must have 1 to 63 letters, digits, dots, dashes or underscores"
+_NAME_ERROR_TEXT = "must have 1 to 63 letters, digits, dots, dashes or underscores"
 
 
-def _sentences(exc: pydantic.ValidationError, value: t.Mapping[str, t.Any]) -> str:
+def _error_detail(exc: pydantic.ValidationError, value: t.Mapping[str, t.Any]) -> str:
     lines = []
     for error in exc.errors(include_url=False)[:20]:
-        where = _place(error["loc"], value)
-        what = _PLAIN.get(error["type"]) or _lower(error["msg"])
+        where = _describe_location(error["loc"], value)
+        what = _ERROR_TEXTS.get(error["type"]) or _message_text(error["msg"])
         if error["type"] == "string_pattern_mismatch":
-            what = _PATTERNS.get(str(error["loc"][-1]), _NAME)
-        lines.append(f"{where} {what}{_hint(error, value)}.")
+            what = _PATTERN_ERROR_TEXTS.get(str(error["loc"][-1]), _NAME_ERROR_TEXT)
+        lines.append(f"{where} {what}{_suggestion(error, value)}.")
     return " ".join(lines)
 
 
-def _hint(error: t.Any, value: t.Mapping[str, t.Any]) -> str:
-    """Return what a misspelt field or kind probably meant."""
+def _suggestion(error: t.Any, value: t.Mapping[str, t.Any]) -> str:
+    """Return a suggestion for a misspelt field or kind, or an empty string."""
     loc = error["loc"]
     if error["type"] == "union_tag_invalid":
         known: t.Iterable[str] = KINDS
@@ -139,26 +147,26 @@
         given = str(loc[-1])
     else:
         return ""
-    like = difflib.get_close_matches(given, list(known), 1)
-    return f' (did you mean "{like[0]}"?)' if like else ""
+    matches = difflib.get_close_matches(given, list(known), 1)
+    return f' (did you mean "{matches[0]}"?)' if matches else ""
 
 
-def _lower(text: str) -> str:
+def _message_text(text: str) -> str:
     text = text.removeprefix("Value error, ")
     return text.replace("Input should", "should")
 
 
-def _place(loc: tuple[int | str, ...], value: t.Mapping[str, t.Any]) -> str:
-    """Return a readable place, such as `In service "booking", "cpu"`."""
+def _describe_location(loc: tuple[int | str, ...], value: t.Mapping[str, t.Any]) -> str:
+    """Return where an error is, such as `In service "booking", "cpu"`."""
     if len(loc) >= 2 and loc[0] == "objects" and isinstance(loc[1], int):
-        found = _item(value, loc[1])
+        label = _describe_object(value, loc[1])
         path = ".".join(str(part) for part in loc[3:])
-        return f'In {found}, "{path}"' if path else f"Object {found}"
+        return f'In {label}, "{path}"' if path else f"Object {label}"
     path = ".".join(str(part) for part in loc)
     return f'"{path}"' if path else "The ticket"
 
 
-def _item(value: t.Mapping[str, t.Any], index: int) -> str:
+def _describe_object(value: t.Mapping[str, t.Any], index: int) -> str:
     item = value["objects"][index]
     if not isinstance(item, dict):
         return f"number {index + 1}"
@@ -166,22 +174,22 @@
 
 
 def digest(value: t.Any) -> str:
-    """Return 16 hexadecimal digits that identify a JSON value."""
-    return hashlib.sha256(_canonical(value)).hexdigest()[:16]
+    """Return the first 16 hexadecimal digits of the SHA-256 of a JSON value."""
+    return hashlib.sha256(_canonical_json(value)).hexdigest()[:16]
 
 
-def size_of(value: t.Any) -> int:
-    """Return the length of a JSON value in bytes."""
-    return len(_canonical(value))
+def json_size(value: t.Any) -> int:
+    """Return the length in bytes of the canonical JSON text of a value."""
+    return len(_canonical_json(value))
 
 
-def _canonical(value: t.Any) -> bytes:
+def _canonical_json(value: t.Any) -> bytes:
     text = json.dumps(value, sort_keys=True, separators=(",", ":"), allow_nan=False)
     return text.encode()
 
 
 def encode_changes(ticket: Ticket) -> dict[str, dict[str, t.Any] | None]:
-    """Return the stored form of each object of a ticket; None for a removal."""
+    """Return the stored form of each object of a ticket by key; None for a removal."""
     return {
         key: None if isinstance(item, Removal) else encode_object(item.spec())
         for key, item in zip(ticket.object_keys(), ticket.objects, strict=True)
@@ -189,7 +197,7 @@
 
 
 def apply(config: Configuration, number: int, ticket: Ticket) -> Configuration:
-    """Return the configuration after a ticket; the cost follows the ticket's size."""
+    """Return the configuration after a ticket that gets a number."""
     specs: dict[str, Spec | None] = {
         key: None if isinstance(item, Removal) else item.spec()
         for key, item in zip(ticket.object_keys(), ticket.objects, strict=True)
@@ -202,7 +210,20 @@
     number: int,
     objects: t.Mapping[str, t.Mapping[str, t.Any] | None],
 ) -> Configuration:
-    """Return the configuration with stored objects replaced, or removed if None."""
+    """Return the configuration after changes in stored form.
+
+    Parameters
+    ----------
+    number : int
+        Ticket number of the new configuration.
+    objects : mapping
+        Object key to its stored form, or to None to remove the object.
+
+    Raises
+    ------
+    pydantic.ValidationError, KeyError
+        If an object is not valid or of an unknown kind.
+    """
     specs = {
         key: None if value is None else parse_object(value)
         for key, value in objects.items()
@@ -219,8 +240,8 @@
             changed["policy"] = spec or Policy()
             continue
         kind, name = key.split("/", 1)
-        field = _FIELDS[kind]
-        # Each mapping is copied once per ticket; readers keep the old one unchanged.
+        field = _CONFIG_FIELDS[kind]
+        # Copy on write: readers may still hold the old mapping.
         if field not in changed:
             changed[field] = dict(getattr(config, field))
         if spec is None:
@@ -231,17 +252,17 @@
 
 
 def lookup(config: Configuration, key: str) -> Spec | None:
-    """Return the state of an object, or None if there is none."""
+    """Return the object with a key ``kind/name``, or None if there is none."""
     if key == POLICY_KEY:
         return config.policy
     kind, name = key.split("/", 1)
-    found: Spec | None = getattr(config, _FIELDS[kind]).get(name)
-    return found
+    spec: Spec | None = getattr(config, _CONFIG_FIELDS[kind]).get(name)
+    return spec
 
 
 def iter_objects(config: Configuration) -> t.Iterator[tuple[str, Spec]]:
-    """Yield ``kind/name`` and the state of each object of a configuration."""
-    for kind, field in _FIELDS.items():
+    """Yield the key ``kind/name`` and the value of each object of a configuration."""
+    for kind, field in _CONFIG_FIELDS.items():
         for name, spec in getattr(config, field).items():
             yield f"{kind}/{name}", spec
     if config.policy != Policy():
@@ -249,7 +270,7 @@
 
 
 def encode(config: Configuration) -> dict[str, t.Any]:
-    """Return a whole configuration as a JSON value."""
+    """Return a complete configuration as a JSON value."""
     return {
         "format": FORMAT,
         "number": config.number,
@@ -258,7 +279,7 @@
 
 
 def decode(value: t.Mapping[str, t.Any]) -> Configuration:
-    """Return the configuration that `encode` gave.
+    """Return the configuration encoded by `encode`.
 
     Raises
     ------
@@ -277,24 +298,25 @@
 
 
 def check_shards(before: Configuration, after: Configuration) -> None:
-    """Refuse another number of shards while there are VMs.
+    """Raise `CallError` if the number of shards changes while there are VM groups.
 
-    Keys would get other home shards, whose owners do not know what still runs under a
-    key or has run under an id.
+    Exclusive keys and request ids would map to other shards, whose owners do not know
+    which work still runs under a key or has already run under an id.
     """
     count = before.policy.shards_per_data_centre
     if before.vm_groups and after.policy.shards_per_data_centre != count:
         raise CallError(
             Code.TICKET_INVALID,
             f"policy: shards_per_data_centre is {count} and cannot be changed while "
-            "there are VM groups. Remove all VM groups first, then file both anew.",
+            "there are VM groups. Remove all VM groups, change the policy, and then "
+            "file the VM groups again.",
         )
 
 
 def check_vms(config: Configuration) -> None:
-    """Refuse a VM that two groups list, or an address that two VMs share.
+    """Raise `CallError` if two groups list a VM, or two VMs have the same address.
 
-    A VM counted twice would be given twice the work that it can hold.
+    A VM that is counted twice would be given twice the work that it can hold.
     """
     groups: dict[str, str] = {}
     addresses: dict[str, str] = {}
