--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -1,4 +1,8 @@
-"""Acceptance of tickets by one compare-and-swap on the head record."""
+"""Acceptance of tickets.
+
+The objects of a ticket are written to the store first. A compare-and-swap of the head
+record then accepts the ticket, which puts all of its objects in force at once.
+"""
 
 import asyncio
 import random
@@ -10,16 +14,16 @@
 from .config_loader import Loader, load, read_head
 from .exceptions import CallError, StoreConflict, StoreDown, StoreReplyLost
 from .filing import (
-    SPAN,
+    UID_RANGE_TICKETS,
     FileResult,
     Filing,
     accepted_result,
-    check_same,
+    check_digest,
     check_size,
-    difference,
-    first_answer,
-    no_answer,
-    record_of,
+    describe_difference,
+    repeat_result,
+    uid_record,
+    unavailable_result,
 )
 from .head import (
     HEAD_KEY,
@@ -36,29 +40,32 @@
 
 __all__ = ["Acceptance", "FileResult", "load"]
 
-# Each round loses only to another accepted ticket or to a lost reply.
+# Attempts to swap the head for one ticket. An attempt fails only if another ticket is
+# accepted first or a reply of the store is lost.
 _ROUNDS = 30
 _WRITE_TRIES = 3
-# Objects written at once, and the pause after them. A ticket of many objects would
-# otherwise use up the store's budget of several hundred writes/s for everything.
+# Objects written concurrently, and the pause between two such groups. Without it, a
+# ticket of many objects would use up the several hundred writes/s that the store
+# allows for all purposes.
 _GROUP_WRITES = 8
 _GROUP_PAUSE_S = 0.08
-# Mean pause before a retry; spreads the filers of a burst of 20 tickets/s.
-_PAUSE_S = 0.01
-# How long the text of a ticket and the answer to its uid are kept.
+# Mean of the random pause before a retry. It spreads the attempts of the processes
+# that file a burst of 20 tickets/s.
+_RETRY_PAUSE_S = 0.01
+# How long the uid record with the text of a ticket, and its history entry, are kept.
 RETENTION_S = 30 * 86_400.0
 _LEASE_SPAN_S = 3600.0
 
 
 class Acceptance:
-    """Files tickets.
+    """Files tickets in the store.
 
     Parameters
     ----------
     seed : int or None
         Seed of the pauses between retries.
     loader : Loader or None
-        Loader of the process, so that what it holds is not read twice.
+        Loader of the process; sharing it saves reads of objects that it holds.
     """
 
     def __init__(
@@ -71,55 +78,60 @@
         self._store = store
         self._clock = clock
         self._rng = random.Random(seed)
-        # Filers of one process would only take the head from each other.
-        self._turn = asyncio.Lock()
+        # One filing at a time: concurrent ones would make each other's swap fail.
+        self._lock = asyncio.Lock()
         self._lease = RetentionLease(store, clock, RETENTION_S, _LEASE_SPAN_S)
         self.loader = loader or Loader(store)
 
     async def file(self, ticket: Ticket) -> FileResult:
-        """File a ticket and return what became of it; never raises for the store."""
+        """File a ticket and return the result.
+
+        Errors of the ticket and failures of the store are returned, not raised.
+        """
         objects = tickets.encode_changes(ticket)
-        whole = ticket.model_dump(mode="json", exclude_unset=True)
-        filing = Filing(ticket, tickets.digest(whole), objects, whole)
+        ticket_json = ticket.model_dump(mode="json", exclude_unset=True)
+        filing = Filing(ticket, tickets.digest(ticket_json), objects, ticket_json)
         try:
-            check_size(objects, whole)
-            if self._turn.locked() and ticket.based_on is None:
-                # The author cannot have seen what is accepted while this one waits.
-                filing.seen = (await read_head(self._store))[0].number
-            async with self._turn:
-                return await self._rounds(filing)
+            check_size(objects, ticket_json)
+            if self._lock.locked() and ticket.based_on is None:
+                # The ticket is based on the head as it is now: its author cannot have
+                # seen the tickets that are accepted while this one waits.
+                filing.number_seen = (await read_head(self._store))[0].number
+            async with self._lock:
+                return await self._file_with_retries(filing)
         except (StoreDown, StoreReplyLost):
-            return no_answer(filing)
+            return unavailable_result(filing)
         except CallError as exc:
             return FileResult(exc.code, 0, exc.detail)
 
-    async def _rounds(self, filing: Filing) -> FileResult:
+    async def _file_with_retries(self, filing: Filing) -> FileResult:
         for attempt in range(_ROUNDS):
             if attempt:
-                await asyncio.sleep(self._rng.uniform(0, 2 * _PAUSE_S))
-            result = await self._round(filing)
+                await asyncio.sleep(self._rng.uniform(0, 2 * _RETRY_PAUSE_S))
+            result = await self._try_once(filing)
             if result is not None:
                 return result
-        return no_answer(filing)
+        return unavailable_result(filing)
 
-    async def _round(self, filing: Filing) -> FileResult | None:
-        """Try once; None if the head was changed by another ticket meanwhile."""
+    async def _try_once(self, filing: Filing) -> FileResult | None:
+        """Try to accept the ticket; return None if it must be tried again."""
         head, entry = await read_head(self._store)
         found = head.entry_by_uid(filing.ticket.uid)
         if found is None:
-            await self._validate(filing, head)
-            found = await self._claim_uid(filing, head)
+            await self._check_config(filing, head)
+            found = await self._put_uid_record(filing, head)
         if found is not None:
-            return first_answer(filing, found, head)
+            return repeat_result(filing, found, head)
         version = 0 if entry is None else entry.version
         if version != filing.sent_version:
-            # The head has moved on without this ticket: no swap sent can still apply.
+            # The head has changed since and lacks this ticket, so no swap that was sent
+            # for an earlier version can still succeed.
             filing.uncertain = False
-        await self._refuse_stale(filing, head)
-        following = await self._prepare(filing, head)
-        return await self._swap(filing, following, version)
+        await self._check_base(filing, head)
+        next_head = await self._prepare_head(filing, head)
+        return await self._swap_head(filing, next_head, version)
 
-    async def _validate(self, filing: Filing, head: Head) -> None:
+    async def _check_config(self, filing: Filing, head: Head) -> None:
         checked = (tickets.POLICY_KEY, "vm_group/")
         if not any(key.startswith(checked) for key in filing.objects):
             return
@@ -129,20 +141,25 @@
             tickets.check_shards(state.config, config)
             tickets.check_vms(config)
 
-    async def _claim_uid(self, filing: Filing, head: Head) -> AcceptedTicket | None:
-        """Record under the uid from which number on it is tried.
+    async def _put_uid_record(
+        self, filing: Filing, head: Head
+    ) -> AcceptedTicket | None:
+        """Write the uid record for an attempt to accept the ticket after a head.
 
-        Returns the entry of an earlier attempt that was accepted and has already left
-        the head's window.
+        Returns
+        -------
+        AcceptedTicket or None
+            Entry of the ticket if an earlier attempt was accepted and the entry has
+            already moved from the head to the history.
         """
         key = ticket_key(filing.ticket.uid)
         for _ in range(_WRITE_TRIES):
             if filing.record is not None:
-                check_same(filing)
-                found = await self._accepted_before(filing, head)
+                check_digest(filing)
+                found = await self._find_in_history(filing, head)
                 if found is not None:
                     return found
-            value = record_of(filing, head, self._clock.wall())
+            value = uid_record(filing, head, self._clock.wall())
             if filing.record is not None and filing.record.value == value:
                 return None
             version = 0 if filing.record is None else filing.record.version
@@ -156,16 +173,16 @@
                     self._lease.invalidate()
         raise StoreDown()
 
-    async def _accepted_before(
+    async def _find_in_history(
         self, filing: Filing, head: Head
     ) -> AcceptedTicket | None:
-        """Return the entry of the uid if it is in the history behind the window."""
+        """Return the entry of the uid in the history, or None if it is not there."""
         assert filing.record is not None
         first = head.tickets[0].number if head.tickets else 1
         keys = {
             history_key(number): None
             for start in filing.record.value["starts"]
-            for number in range(start, min(start + SPAN, first))
+            for number in range(start, min(start + UID_RANGE_TICKETS, first))
         }
         for key in keys:
             block = await self._store.get(key)
@@ -180,7 +197,7 @@
                     return AcceptedTicket.from_json(item)
         return None
 
-    async def _refuse_stale(self, filing: Filing, head: Head) -> None:
+    async def _check_base(self, filing: Filing, head: Head) -> None:
         base = filing.base
         if base > head.number:
             detail = f"The ticket is based on number {base}, but the last number is "
@@ -188,7 +205,7 @@
         for key in filing.objects:
             if head.last_change(key) > base:
                 raise CallError(
-                    Code.TICKET_CONFLICT, await self._conflict(filing, head, key)
+                    Code.TICKET_CONFLICT, await self._conflict_detail(filing, head, key)
                 )
             if base < head.horizon and key not in head.objects:
                 detail = (
@@ -198,8 +215,8 @@
                 )
                 raise CallError(Code.TICKET_CONFLICT, detail)
 
-    async def _conflict(self, filing: Filing, head: Head, key: str) -> str:
-        """Return who won, what changed, and how to proceed."""
+    async def _conflict_detail(self, filing: Filing, head: Head, key: str) -> str:
+        """Return a message that names the conflicting change and the way to proceed."""
         number = head.last_change(key)
         winner = head.entry_by_number(number)
         who = f"Ticket {number}"
@@ -210,35 +227,36 @@
         else:
             stored = await self._store.get(object_key(key, head.objects[key]))
             theirs = None if stored is None else stored.value["object"]
-            what = f"changed {key}{difference(theirs, filing.objects[key])}"
+            what = f"changed {key}{describe_difference(theirs, filing.objects[key])}"
         return (
             f"{who} {what} after number {filing.base}, on which this ticket is based. "
             f"Nothing was changed by this ticket. Look at {key} as it is now, adapt "
             f"this ticket, and file it again with based_on {head.number} and a new uid."
         )
 
-    async def _prepare(self, filing: Filing, head: Head) -> Head:
-        """Write everything that the next head refers to, and return that head."""
+    async def _prepare_head(self, filing: Filing, head: Head) -> Head:
+        """Write all values that the next head refers to, and return that head."""
         block = head.full_block()
         if block:
-            await self._keep_block(block)
+            await self._put_history_block(block)
             head = head.without_full_block()
         number = head.number + 1
-        if filing.planned <= head.snapshot:
-            # Not written yet, or so long ago that the values may have been deleted.
-            filing.planned = number
+        if filing.planned_number <= head.snapshot:
+            # The values are not written yet, or compaction may have deleted them, as
+            # it deletes values planned for numbers up to that of the snapshot.
+            filing.planned_number = number
             await self._put_objects(filing)
         refs = {
             key: None if suffix is None else f"{number}-{suffix}"
-            for key, suffix in filing.suffixes.items()
+            for key, suffix in filing.key_suffixes.items()
         }
         last = head.tickets[-1].at if head.tickets else 0.0
         at = max(self._clock.wall(), last)
         entry = AcceptedTicket.from_ticket(number, filing.ticket, filing.digest, at)
         return head.with_ticket(entry, refs)
 
-    async def _keep_block(self, block: t.Sequence[AcceptedTicket]) -> None:
-        """Write the tickets that leave the head, for as long as their uids count."""
+    async def _put_history_block(self, block: t.Sequence[AcceptedTicket]) -> None:
+        """Write the tickets that leave the head; they are kept for `RETENTION_S`."""
         key = history_key(block[0].number)
         value = {"format": tickets.FORMAT, "tickets": [e.to_json() for e in block]}
         for _ in range(_WRITE_TRIES):
@@ -249,17 +267,18 @@
             except (StoreConflict, StoreReplyLost):
                 if await self._store.get(key) is not None:
                     return
-                # A lapsed lease is refused in the same way as an existing key.
+                # There is no block, so the conflict came from a lapsed lease, which
+                # the store reports in the same way.
                 self._lease.invalidate()
         raise StoreDown()
 
     async def _put_objects(self, filing: Filing) -> None:
         writes = []
         for key, value in filing.objects.items():
-            filing.suffixes[key] = None
+            filing.key_suffixes[key] = None
             if value is not None:
-                suffix = f"{filing.planned}-{tickets.digest(value)}"
-                filing.suffixes[key] = suffix
+                suffix = f"{filing.planned_number}-{tickets.digest(value)}"
+                filing.key_suffixes[key] = suffix
                 writes.append((f"config/object/{key}/{suffix}", value))
         for start in range(0, len(writes), _GROUP_WRITES):
             if start:
@@ -268,7 +287,7 @@
             await asyncio.gather(*(self._put_object(*write) for write in group))
 
     async def _put_object(self, key: str, value: dict[str, t.Any]) -> None:
-        """Write an object; a value that stands under its key already is the same."""
+        """Write an object; an existing value is equal, since the key has its digest."""
         stored = {"format": tickets.FORMAT, "object": value}
         for _ in range(_WRITE_TRIES):
             try:
@@ -280,10 +299,10 @@
                 continue
         raise StoreDown()
 
-    async def _swap(
-        self, filing: Filing, following: Head, version: int
+    async def _swap_head(
+        self, filing: Filing, next_head: Head, version: int
     ) -> FileResult | None:
-        value = following.to_json()
+        value = next_head.to_json()
         if tickets.json_size(value) > MAX_VALUE_BYTES:
             detail = "There are too many objects for one head record; remove some."
             raise CallError(Code.TICKET_TOO_LARGE, detail)
@@ -292,7 +311,8 @@
         except StoreConflict:
             return None
         except StoreReplyLost:
-            # The next round reads back; the same swap can take effect only once.
+            # The next attempt reads the head to see whether this swap took effect.
+            # Repeating it is safe: it expects a version, so it succeeds at most once.
             filing.uncertain, filing.sent_version = True, version
             return None
-        return accepted_result(following.tickets[-1], following)
+        return accepted_result(next_head.tickets[-1], next_head)
--- a/src/poplaryard/filing.py
+++ b/src/poplaryard/filing.py
@@ -1,4 +1,4 @@
-"""Progress and answers of a filing, in plain sentences."""
+"""State of the filing of a ticket, and the results returned to the operator."""
 
 import typing as t
 from dataclasses import dataclass, field
@@ -14,34 +14,37 @@
     "FileResult",
     "Filing",
     "accepted_result",
-    "SPAN",
-    "check_same",
+    "UID_RANGE_TICKETS",
+    "check_digest",
     "check_size",
-    "covers",
-    "difference",
-    "first_answer",
-    "no_answer",
-    "record_of",
+    "allows_number",
+    "describe_difference",
+    "repeat_result",
+    "unavailable_result",
+    "uid_record",
 ]
 
 
-# A record allows the numbers from each of its starts up to this many further; a repeat
-# looks for its uid among them in two history blocks at most.
-SPAN = 128
+# Ticket numbers in each range of a uid record. The record lists the starts of the
+# ranges in which the ticket may have been accepted. Since a range is no longer than a
+# history block, a search for the uid reads at most two blocks per range.
+UID_RANGE_TICKETS = 128
 
 
 @dataclass(frozen=True, slots=True)
 class FileResult:
-    """Answer to a filed ticket.
+    """Result of filing a ticket.
 
     Attributes
     ----------
     number : int
         Number of the accepted ticket; 0 if it is not known to be accepted.
     detail : str
-        Plain sentences for the operator.
+        Sentences for the operator.
+    accepted : AcceptedTicket or None
+        Entry of the accepted ticket.
     head : Head or None
-        Head that holds the accepted ticket, for the rollout.
+        Head that includes the accepted ticket; the rollout loads it at once.
     """
 
     code: Code
@@ -52,98 +55,109 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the ticket is accepted."""
+        """Whether the ticket was accepted."""
         return self.code is Code.TICKET_ACCEPTED
 
 
 @dataclass(slots=True)
 class Filing:
-    """Progress of one call of `Acceptance.file`.
+    """State of one call of `Acceptance.file`.
 
     Attributes
     ----------
+    objects : dict
+        Object key to its new value in stored form; None for a removal.
+    ticket_json : dict
+        The ticket as a JSON value; `digest` is its digest.
     uncertain : bool
-        Whether a swap was sent that may still take effect.
+        Whether a swap of the head was sent that may have taken effect or still may.
+    sent_version : int
+        Version of the head that the last such swap expected.
     record : Entry or None
-        Record of the uid, which also keeps the number that the first attempt saw.
-    planned : int
-        Number under which the objects were written; 0 if they were not yet.
-    suffixes : dict
-        Last part of the store key of each object; None for a removal.
-    seen : int or None
-        Last number when the filing began, if it had to wait.
+        Uid record in the store; see `uid_record`.
+    planned_number : int
+        Ticket number in the store keys of the written objects; 0 if none are written.
+    key_suffixes : dict
+        Object key to the last part of the store key of its value; None for a removal.
+    number_seen : int or None
+        Last ticket number before this filing waited for another; None without a wait.
     """
 
     ticket: Ticket
     digest: str
     objects: dict[str, dict[str, t.Any] | None]
-    whole: dict[str, t.Any]
+    ticket_json: dict[str, t.Any]
     uncertain: bool = False
     sent_version: int = -1
     record: Entry | None = None
-    planned: int = 0
-    suffixes: dict[str, str | None] = field(default_factory=dict)
-    seen: int | None = None
+    planned_number: int = 0
+    key_suffixes: dict[str, str | None] = field(default_factory=dict)
+    number_seen: int | None = None
 
     @property
     def base(self) -> int:
-        """Number after which another change of the same object is a conflict."""
+        """Ticket number after which another change of the same object is a conflict."""
         return 0 if self.record is None else int(self.record.value["base"])
 
 
-def covers(starts: t.Sequence[int], number: int) -> bool:
-    """Tell whether a record allows an attempt under a number."""
-    return any(start <= number < start + SPAN for start in starts)
+def allows_number(starts: t.Sequence[int], number: int) -> bool:
+    """Return whether a ticket number is in one of the ranges of a uid record."""
+    return any(start <= number < start + UID_RANGE_TICKETS for start in starts)
 
 
-def record_of(filing: Filing, head: Head, at: float) -> dict[str, t.Any]:
-    """Return the uid's record, which allows the number that comes after a head."""
+def uid_record(filing: Filing, head: Head, at: float) -> dict[str, t.Any]:
+    """Return the uid record for an attempt to accept the ticket after a head.
+
+    The record holds the digest of the ticket, the number that it is based on, and the
+    starts of the ranges of numbers under which it was tried. One of them contains the
+    number after the head.
+    """
     number = head.number + 1
     if filing.record is not None:
         value = dict(filing.record.value)
-        if not covers(value["starts"], number):
+        if not allows_number(value["starts"], number):
             value["starts"] = [*value["starts"], number]
         return value
     base = filing.ticket.based_on
     if base is None:
-        base = head.number if filing.seen is None else filing.seen
+        base = head.number if filing.number_seen is None else filing.number_seen
     return {
         "format": tickets.FORMAT,
         "digest": filing.digest,
         "base": base,
         "starts": [number],
         "at": at,
-        "ticket": filing.whole,
+        "ticket": filing.ticket_json,
     }
 
 
-def check_same(filing: Filing) -> None:
-    """Refuse a uid whose record belongs to a different ticket."""
+def check_digest(filing: Filing) -> None:
+    """Raise `CallError` if the uid record is that of a different ticket."""
     if filing.record is not None and filing.record.value["digest"] != filing.digest:
-        raise CallError(Code.TICKET_REUSED, _REUSED)
+        raise CallError(Code.TICKET_REUSED, _REUSED_DETAIL)
 
 
-_REUSED = (
+_REUSED_DETAIL = (
     "A different ticket was filed with this uid before. If this one is meant to be "
     "filed as well, give it a new uid."
 )
 
 
-def first_answer(filing: Filing, found: AcceptedTicket, head: Head) -> FileResult:
-    """Return the answer to a uid that was accepted before."""
+def repeat_result(filing: Filing, found: AcceptedTicket, head: Head) -> FileResult:
+    """Return the result for a uid under which a ticket was accepted before."""
     if found.digest != filing.digest:
-        return FileResult(Code.TICKET_REUSED, 0, _REUSED)
+        return FileResult(Code.TICKET_REUSED, 0, _REUSED_DETAIL)
     return accepted_result(found, head)
 
 
 def accepted_result(entry: AcceptedTicket, head: Head) -> FileResult:
-    """Return the answer to an accepted ticket."""
+    """Return the result for an accepted ticket."""
     detail = f"The ticket is accepted as number {entry.number}."
     return FileResult(Code.TICKET_ACCEPTED, entry.number, detail, entry, head)
 
 
-def no_answer(filing: Filing) -> FileResult:
-    """Return the answer when the store does not answer."""
+def unavailable_result(filing: Filing) -> FileResult:
+    """Return the result if the store does not answer."""
     if filing.uncertain:
         detail = (
             "The store stopped answering while the ticket was being accepted. File the "
@@ -158,10 +172,10 @@
 
 
 def check_size(
-    objects: t.Mapping[str, dict[str, t.Any] | None], whole: dict[str, t.Any]
+    objects: t.Mapping[str, dict[str, t.Any] | None], ticket_json: dict[str, t.Any]
 ) -> None:
-    """Refuse a ticket or an object that the store would not take."""
-    if tickets.json_size(whole) > MAX_VALUE_BYTES:
+    """Raise `CallError` if the ticket or an object is too large for the store."""
+    if tickets.json_size(ticket_json) > MAX_VALUE_BYTES:
         detail = f"The ticket is larger than {MAX_VALUE_BYTES // 1000} KB; split it."
         raise CallError(Code.TICKET_TOO_LARGE, detail)
     for key, value in objects.items():
@@ -170,19 +184,19 @@
             raise CallError(Code.TICKET_TOO_LARGE, detail)
 
 
-def difference(theirs: t.Any, ours: t.Any) -> str:
-    """Return the fields in which two states of an object differ."""
+def describe_difference(theirs: t.Any, ours: t.Any) -> str:
+    """Return a text that lists the fields in which two object values differ."""
     if theirs is None or ours is None:
         return ""
     parts = [
-        f"{field} is now {_brief(theirs.get(field))} and this ticket says "
-        f"{_brief(ours.get(field))}"
+        f"{field} is now {_shorten(theirs.get(field))} and this ticket says "
+        f"{_shorten(ours.get(field))}"
         for field in sorted(theirs.keys() | ours.keys())
         if theirs.get(field) != ours.get(field)
     ]
     return f" ({'; '.join(parts)})" if parts else " (to the same state)"
 
 
-def _brief(value: t.Any) -> str:
+def _shorten(value: t.Any) -> str:
     text = "not given" if value is None else str(value)
     return text if len(text) <= 60 else f"{text[:57]}..."
