--- a/src/poplaryard/routing.py
+++ b/src/poplaryard/routing.py
@@ -76,10 +76,11 @@
 def choose_shard(
     work: Work, summaries: t.Sequence[ShardSummary], rng: random.Random
 ) -> str | None:
-    """Return the less loaded of two random shards that can hold `work`, or None.
+    """Return the less loaded of two random reachable shards, or None if there are none.
 
-    Two are compared rather than all because summaries lag: with the best of all, every
-    entry process would send to the same shard until the next report.
+    Shards that can hold `work` are preferred. Two are compared rather than all because
+    summaries lag: with the best of all, every entry process would send to the same
+    shard until the next report.
     """
     reachable = [item for item in summaries if item.reachable]
     fitting = [item for item in reachable if work.need.fits_in(item.largest)]
