--- a/src/poplaryard/filing.py
+++ b/src/poplaryard/filing.py
@@ -6,7 +6,7 @@
 from . import tickets
 from .codes import Code
 from .exceptions import CallError
-from .head import MAX_VALUE_BYTES, Accepted, Head
+from .head import MAX_VALUE_BYTES, AcceptedTicket, Head
 from .store import Entry
 from .tickets import Ticket
 
@@ -47,7 +47,7 @@
     code: Code
     number: int = 0
     detail: str = ""
-    accepted: Accepted | None = None
+    accepted: AcceptedTicket | None = None
     head: Head | None = None
 
     @property
@@ -129,14 +129,14 @@
 )
 
 
-def first_answer(filing: Filing, found: Accepted, head: Head) -> FileResult:
+def first_answer(filing: Filing, found: AcceptedTicket, head: Head) -> FileResult:
     """Return the answer to a uid that was accepted before."""
     if found.digest != filing.digest:
         return FileResult(Code.TICKET_REUSED, 0, _REUSED)
     return accepted_result(found, head)
 
 
-def accepted_result(entry: Accepted, head: Head) -> FileResult:
+def accepted_result(entry: AcceptedTicket, head: Head) -> FileResult:
     """Return the answer to an accepted ticket."""
     detail = f"The ticket is accepted as number {entry.number}."
     return FileResult(Code.TICKET_ACCEPTED, entry.number, detail, entry, head)
@@ -161,11 +161,11 @@
     objects: t.Mapping[str, dict[str, t.Any] | None], whole: dict[str, t.Any]
 ) -> None:
     """Refuse a ticket or an object that the store would not take."""
-    if tickets.size_of(whole) > MAX_VALUE_BYTES:
+    if tickets.json_size(whole) > MAX_VALUE_BYTES:
         detail = f"The ticket is larger than {MAX_VALUE_BYTES // 1000} KB; split it."
         raise CallError(Code.TICKET_TOO_LARGE, detail)
     for key, value in objects.items():
-        if tickets.size_of(value) > MAX_VALUE_BYTES:
+        if tickets.json_size(value) > MAX_VALUE_BYTES:
             detail = f"{key} is larger than {MAX_VALUE_BYTES // 1000} KB; split it."
             raise CallError(Code.TICKET_TOO_LARGE, detail)
 
