--- a/src/poplaryard/compaction.py
+++ b/src/poplaryard/compaction.py
@@ -1,4 +1,4 @@
-"""Snapshots of the configuration, and removal of the values that they replace."""
+"""Snapshots of the configuration, and deletion of the values that they replace."""
 
 import typing as t
 from dataclasses import replace
@@ -17,20 +17,25 @@
 
 __all__ = ["SNAPSHOT_EVERY", "Compactor"]
 
-# Tickets between two snapshots; bounds what a starting process reads one by one.
+# Tickets between two snapshots. Limits the objects that a starting process must read in
+# addition to the snapshot.
 SNAPSHOT_EVERY = 128
-# Deletions per run; a run per snapshot keeps up with one object per ticket.
+# Most deletions per run. With a run per snapshot, this is more than the values written
+# between two runs if each ticket changes one object.
 _DELETIONS = 400
+# Attempts of a write that fails by conflicts or lost replies.
 _ROUNDS = 20
 
 
 class Compactor:
-    """Writes snapshots; any number of processes may run one at the same time.
+    """Writes snapshots and deletes the values that they replace.
+
+    Several processes may do so at the same time.
 
     Parameters
     ----------
     every : int
-        Tickets between two snapshots.
+        Number of tickets between two snapshots.
     """
 
     def __init__(self, store: Store, loader: Loader, every: int = SNAPSHOT_EVERY):
@@ -39,12 +44,13 @@
         self._loader = loader
 
     async def run(self) -> bool:
-        """Write a snapshot if one is due; return whether one was put in force.
+        """Write a snapshot if one is due, and return whether the head refers to it.
 
         Raises
         ------
         StoreDown, StoreReplyLost
-            If the store does not answer; what was written so far does no harm.
+            If the store does not answer. Parts written so far are not referred to by
+            the head and are deleted with a later snapshot.
         """
         head, _entry = await read_head(self._store)
         if head.number - head.snapshot < self._every:
@@ -58,11 +64,11 @@
                 return False
         if not await self._put_in_force(head.number, len(parts)):
             return False
-        await self._sweep()
+        await self._delete_stale()
         return True
 
     async def _put_part(self, key: str, part: dict[str, t.Any]) -> bool:
-        """Write one part; False if a different value stands under its key."""
+        """Write one part and return whether the store holds it."""
         for _ in range(_ROUNDS):
             try:
                 await self._store.put_if(key, part, 0)
@@ -70,7 +76,8 @@
             except (StoreConflict, StoreReplyLost):
                 held = await self._store.get(key)
                 if held is not None:
-                    # Another process, perhaps of another version, was here first.
+                    # Another process has written this part. It may run another version
+                    # and have encoded it differently.
                     return bool(held.value == part)
         return False
 
@@ -87,12 +94,12 @@
                 continue
         return False
 
-    async def _sweep(self) -> None:
-        """Delete values that no reader of the present head needs.
+    async def _delete_stale(self) -> None:
+        """Delete values that are not needed to load the configuration in force.
 
-        A filer whose values were planned up to the snapshot's number writes them again
-        once it has read a head with this snapshot, and with an older head it cannot
-        succeed; so nothing that becomes part of a head is deleted.
+        No value that a later head refers to is lost. A process that has written values
+        under a planned number up to the snapshot's number writes them again if it has
+        read a head with this snapshot; with an older head its swap cannot succeed.
         """
         head, _entry = await read_head(self._store)
         objects = await self._store.scan("config/object/")
@@ -111,7 +118,8 @@
     if ticket_number(suffix) > head.snapshot:
         return False
     ref = head.objects.get(key)
-    # A value written early may belong to a ticket accepted after the snapshot.
+    # A ticket accepted after the snapshot may have planned a number before it, and so
+    # refer to a value with such a number, which the snapshot lacks.
     in_force = ref is not None and object_key(key, ref) == entry.key
     return not (in_force and ticket_number(t.cast(str, ref)) > head.snapshot)
 
--- a/src/poplaryard/config_io.py
+++ b/src/poplaryard/config_io.py
@@ -1,4 +1,4 @@
-"""Task that carries out the commands of `Rollout`: store reads and messages."""
+"""Task that carries out the commands of `Rollout`: store reads and peer messages."""
 
 import asyncio
 import typing as t
@@ -32,7 +32,8 @@
 TICK_S = 0.25
 WATCH_WAIT_S = 20.0
 WATCH_RETRY_S = 1.0
-# Tickets of a burst are read together; each watch event costs a call and a read.
+# Pause after a watch event. The tickets of a burst are then read together, since each
+# watch event costs a call and a read.
 WATCH_PAUSE_S = 0.1
 PEER_MESSAGES = (AskState, CentreReport, PeerDelta)
 
@@ -40,14 +41,14 @@
 
 
 class ConfigTask:
-    """Runs one `Rollout` object.
+    """Connects a `Rollout` to the store, the peers and the clock.
 
     Parameters
     ----------
     loader : Loader
         Shared with `Acceptance`, so that a ticket filed here is not read twice.
     apply : callable
-        Takes each configuration that comes into force.
+        Called with each configuration that comes into force.
     """
 
     def __init__(
@@ -74,22 +75,22 @@
         self._spawn(self._tick())
 
     async def stop(self) -> None:
-        """End the task and its calls."""
+        """Cancel the task and its calls, and wait until they have ended."""
         tasks = [*self._tasks, *([self._watch] if self._watch else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def set_members(self, members: Members) -> None:
-        """Take the live members of the data centre and the peers of the others."""
+        """Set the live processes of this data centre and the peers in the others."""
         self.handle(members)
 
     def peer_number(self, process: str, number: int) -> None:
-        """Take the number in force at a peer, from its heartbeat."""
+        """Process the ticket number in force at a peer, from its heartbeat."""
         self.handle(PeerNumber(process, number))
 
     def handle(self, msg: t.Any) -> None:
-        """Take one message and carry out what follows from it."""
+        """Pass a message to the `Rollout` and carry out the resulting commands."""
         for out in self.rollout.handle(self._clock.now(), msg):
             if isinstance(out, Configure):
                 self._loader.adopt(self.rollout.state)
@@ -118,12 +119,18 @@
         self._watch = asyncio.create_task(self._watch_head()) if on else None
 
     def _load(self, command: LoadConfig) -> None:
-        # Polls are left out while a load runs: a slow store would gather them.
+        # Polls are skipped during a load; with a slow store they would pile up.
         if not self._loading or command.head is not None:
             self._spawn(self._load_config(command))
 
     async def refresh(self) -> None:
-        """Read the head from the store now; raises `PoplaryardError` if it cannot."""
+        """Load the configuration from the store now.
+
+        Raises
+        ------
+        PoplaryardError
+            If it cannot be loaded.
+        """
         self.handle(Loaded(await self._loader.refresh(None)))
 
     async def _load_config(self, command: LoadConfig) -> None:
@@ -141,11 +148,11 @@
         after = 0
         while True:
             try:
-                found = await self._store.watch(HEAD_KEY, after, WATCH_WAIT_S)
-                for entry in found:
+                entries = await self._store.watch(HEAD_KEY, after, WATCH_WAIT_S)
+                for entry in entries:
                     after = max(after, entry.version)
                     if entry.value is not None:
                         self.handle(HeadSeen(Head.from_json(entry.value)))
-                await asyncio.sleep(WATCH_PAUSE_S if found else 0)
+                await asyncio.sleep(WATCH_PAUSE_S if entries else 0)
             except PoplaryardError:
                 await asyncio.sleep(WATCH_RETRY_S)
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -1,4 +1,4 @@
-"""Loading the configuration from the store, whole or by its changed objects."""
+"""Loading of the configuration, or of its changed objects, from the store."""
 
 import asyncio
 import typing as t
@@ -22,13 +22,16 @@
 
 __all__ = ["Loader", "load", "split_snapshot", "read_head", "read_ticket"]
 
-# One scan of all objects is cheaper for the store than this many single reads.
-_SCAN_FROM = 24
+# From this many objects on, one scan of all objects costs the store less than single
+# reads.
+_SCAN_MIN_OBJECTS = 24
 _CONCURRENT_READS = 8
-# A head that is replaced while its objects are read is read again this often.
+# Attempts to read the head and its objects. An attempt fails if objects are deleted
+# meanwhile, which happens only after the head was replaced.
 _ROUNDS = 8
 
-_Found = dict[str, tuple[str, dict[str, t.Any] | None]]
+# Object key to its reference and value, as in `Delta.objects`.
+_ObjectValues = dict[str, tuple[str, dict[str, t.Any] | None]]
 
 
 async def load(store: Store) -> Configuration:
@@ -43,7 +46,7 @@
 
 
 async def read_head(store: Store) -> tuple[Head, Entry | None]:
-    """Return the head record and its store entry, an empty head if there is none."""
+    """Return the head record and its store entry; an empty head and None if missing."""
     entry = await store.get(HEAD_KEY)
     return (Head() if entry is None else Head.from_json(entry.value)), entry
 
@@ -51,7 +54,7 @@
 async def read_ticket(store: Store, number: int) -> dict[str, t.Any] | None:
     """Return an accepted ticket with its entry, or None if it is no longer kept.
 
-    The ticket itself is None once its text is older than the retention time.
+    The item ``ticket`` is None if the text of the ticket is no longer kept.
     """
     head, _entry = await read_head(store)
     entry = head.entry_by_number(number)
@@ -83,27 +86,36 @@
         self.head = Head()
 
     async def refresh(self, head: Head | None = None) -> ConfigState:
-        """Bring the state up to `head`, by default the store's, and return it."""
+        """Update the state to `head`, by default the store's head, and return it.
+
+        Raises
+        ------
+        CallError
+            `TICKET_NOT_ACCEPTED` if objects were deleted during every attempt,
+            `TICKET_INVALID` if an object cannot be decoded.
+        StoreDown, StoreReplyLost
+            If the store does not answer.
+        """
         async with self._lock:
             for _ in range(_ROUNDS):
                 if head is None:
                     head, _entry = await read_head(self._store)
                 if head.number <= self.state.number:
                     return self.state
-                delta = await self._delta(head)
+                delta = await self._read_delta(head)
                 if delta is not None:
-                    self._advance(head, delta)
+                    self._apply(head, delta)
                     return self.state
                 head = None
             detail = "The configuration changes faster than it can be read."
             raise CallError(Code.TICKET_NOT_ACCEPTED, detail)
 
     def adopt(self, state: ConfigState) -> None:
-        """Take over a newer state that came from elsewhere."""
+        """Replace the state by one received from a peer, if that is newer."""
         if state.number > self.state.number:
             self.state = state
 
-    def _advance(self, head: Head, delta: Delta) -> None:
+    def _apply(self, head: Head, delta: Delta) -> None:
         try:
             state = self.state.apply_delta(delta)
         except (ValueError, KeyError, TypeError) as exc:
@@ -113,34 +125,39 @@
             raise CallError(Code.INTERNAL, "The configuration read has a gap.")
         self.state, self.head = state, head
 
-    async def _delta(self, head: Head) -> Delta | None:
-        """Return the changes up to a head, or None if its objects are gone."""
+    async def _read_delta(self, head: Head) -> Delta | None:
+        """Return the changes up to a head, or None if one of its objects is missing."""
         held = self.state.refs
         wanted = {key: ref for key, ref in head.objects.items() if held.get(key) != ref}
-        found: _Found = {
+        found: _ObjectValues = {
             key: (f"{head.last_change(key)}-", None)
             for key in held
             if key not in head.objects
         }
-        # Peers are told of every removal, also of objects that this process never held.
+        # Removals of objects that this process never held are included, since the state
+        # is the source of deltas for peers that may hold them.
         for key, at in head.removed.items():
             if at > self.state.number:
                 found[key] = (f"{at}-", None)
         if head.snapshot > self.state.number:
-            found |= await self._from_snapshot(head, wanted)
+            found |= await self._read_snapshot(head, wanted)
         wanted = {key: ref for key, ref in wanted.items() if key not in found}
-        read = await self._read(wanted)
+        read = await self._read_objects(wanted)
         if read is None:
             return None
-        # The references were compared, so the delta leaves no gap whatever its base.
+        # The delta comes from a comparison of all references, so it has no gap even if
+        # this state is older than the horizon of the head.
         return Delta(self.state.number, head.number, found | read, head.horizon)
 
-    async def _from_snapshot(self, head: Head, wanted: t.Mapping[str, str]) -> _Found:
+    async def _read_snapshot(
+        self, head: Head, wanted: t.Mapping[str, str]
+    ) -> _ObjectValues:
         keys = [snapshot_key(head.snapshot, n) for n in range(head.snapshot_parts)]
-        parts = await self._gather(keys)
-        found: _Found = {}
+        parts = await self._get_all(keys)
+        found: _ObjectValues = {}
         for part in parts:
-            # A missing part was replaced by a newer snapshot; the head is read again.
+            # A part is missing if a newer snapshot replaced it. Its objects are then
+            # read singly; if these are deleted too, `refresh` reads the head again.
             if part is None:
                 continue
             for key, (ref, value) in part["objects"].items():
@@ -148,24 +165,24 @@
                     found[key] = (ref, value)
         return found
 
-    async def _read(self, wanted: t.Mapping[str, str]) -> _Found | None:
+    async def _read_objects(self, wanted: t.Mapping[str, str]) -> _ObjectValues | None:
         keys = {key: object_key(key, ref) for key, ref in wanted.items()}
-        if len(keys) >= _SCAN_FROM:
+        if len(keys) >= _SCAN_MIN_OBJECTS:
             entries = await self._store.scan("config/object/")
             stored = {entry.key: entry.value for entry in entries}
             values = [stored.get(key) for key in keys.values()]
         else:
-            values = await self._gather(list(keys.values()))
+            values = await self._get_all(list(keys.values()))
         if any(value is None for value in values):
             return None
         pairs = zip(wanted.items(), values, strict=True)
         return {key: (ref, value["object"]) for (key, ref), value in pairs if value}
 
-    async def _gather(self, keys: list[str]) -> list[dict[str, t.Any] | None]:
-        gate = asyncio.Semaphore(_CONCURRENT_READS)
+    async def _get_all(self, keys: list[str]) -> list[dict[str, t.Any] | None]:
+        semaphore = asyncio.Semaphore(_CONCURRENT_READS)
 
         async def read(key: str) -> dict[str, t.Any] | None:
-            async with gate:
+            async with semaphore:
                 entry = await self._store.get(key)
                 return None if entry is None else entry.value
 
@@ -173,7 +190,10 @@
 
 
 def split_snapshot(state: ConfigState, max_bytes: int) -> list[dict[str, t.Any]]:
-    """Split a state into snapshot parts whose JSON stays below a size."""
+    """Return the parts of a snapshot of a state, each of at most `max_bytes` as JSON.
+
+    A single object that is larger makes a part of its own.
+    """
     parts: list[dict[str, t.Any]] = [{}]
     size = 0
     for key, ref in sorted(state.refs.items()):
--- a/src/poplaryard/rollout.py
+++ b/src/poplaryard/rollout.py
@@ -1,7 +1,8 @@
-"""Spread of the configuration from the store to every process.
+"""Distribution of the configuration from the store to every process.
 
-A decision object: `handle(now, msg)` returns messages that a task carries out. Two
-watchers per data centre read the store; all others get changes from their peers.
+`Rollout` does no I/O: `handle(now, msg)` returns commands, which `ConfigTask` carries
+out. Two processes per data centre, the watchers, read the store and push changes to
+the other processes.
 """
 
 import dataclasses
@@ -39,36 +40,47 @@
     "WatchHead",
 ]
 
+# Processes per data centre that watch the head record.
 WATCHERS = 2
-# Delay of the second watcher's load; a push of the first one usually saves it.
-SECOND_DELAY_S = 0.25
-# A watch can miss an event, so the watchers also read the head at this interval.
+# Delay before the second watcher reads a change, so that the push of the first watcher
+# usually makes the read needless.
+SECOND_WATCHER_DELAY_S = 0.25
+# Interval at which a process that reads the store polls the head. The watchers poll as
+# well, because a watch can miss an event.
 POLL_S = 1.0
-# A process that hears from no watcher for this long reads the store itself.
-LONELY_S = 2.0
-# A process that knows of a newer number for this long and gets it from no peer reads
+# A process that hears from no watcher for this long polls the store itself.
+WATCHER_TIMEOUT_S = 2.0
+# A process that knows of a newer ticket for this long, but got it from no peer, polls
 # the store itself.
 LAG_S = 1.0
+# Interval of the reports to other data centres.
 REPORT_S = 1.0
+# Minimum pause between two requests for changes to the same peer.
 ASK_AGAIN_S = 0.5
-_SHOWN_BEHIND = 8
+_MAX_BEHIND_LISTED = 8
 
 
 class Rollout:
-    """Configuration in force in this process and its way to the others.
+    """Configuration in force in this process, and its distribution to the others.
 
     Attributes
     ----------
     state : ConfigState
-        State in force; its number never falls.
+        State in force; its number never decreases.
     ready : bool
-        Whether a configuration from the store or a peer is held.
+        Whether a configuration was received from the store or a peer.
     confirmed : dict
-        Last number confirmed by each live local process.
+        Live process of this data centre to the last number that it confirmed.
     reports : dict
-        Last report of each other data centre with the time of its receipt.
+        Other data centre to the time when its last report was received, and the report.
     unreadable : int
-        Changes from peers that this version could not read.
+        Number of deltas from peers that this version could not decode.
+    store_ok : bool
+        Whether the last read of the store succeeded.
+    store_number : int
+        Number of the last ticket seen in the store.
+    in_force_since : float
+        Monotonic time when `state` came into force, in seconds.
     """
 
     def __init__(self, process: str, data_centre: str):
@@ -86,40 +98,40 @@
         self._watching = False
         self._next_poll = 0.0
         self._next_report = 0.0
-        self._heard_watcher = -LONELY_S
+        self._watcher_heard_at = -WATCHER_TIMEOUT_S
         self._lag_since: float | None = None
-        self._asked: dict[str, float] = {}
-        self._pending: tuple[float, Head] | None = None
-        self._turn = 0
+        self._next_ask: dict[str, float] = {}
+        self._delayed_load: tuple[float, Head] | None = None
+        self._rotation = 0
 
     @property
     def number(self) -> int:
-        """Number in force here, which the heartbeat reports."""
+        """Ticket number in force in this process; heartbeats carry it."""
         return self.state.number
 
     @property
     def watchers(self) -> tuple[str, ...]:
-        """Live local members that watch the store."""
+        """Live processes of this data centre that watch the store."""
         return tuple(sorted(self._members.local)[:WATCHERS])
 
     def behind(self, number: int) -> list[str]:
-        """Return the live local processes that have not confirmed a number."""
+        """Return the live local processes that have not confirmed a ticket number."""
         return [
             peer
             for peer in sorted(self._members.local)
-            if self._number_at(peer) < number
+            if self._confirmed_number(peer) < number
         ]
 
     def missing(self, number: int) -> list[str]:
-        """Return the local processes and other data centres without a number."""
-        found = self.behind(number)
+        """Return the local processes and other data centres that lack a ticket."""
+        lagging = self.behind(number)
         for centre in sorted(self._members.remote):
             if centre in ("", self.data_centre):
                 continue
             _at, report = self.reports.get(centre, (0.0, None))
             if report is None or report.lowest < number:
-                found.append(centre)
-        return found
+                lagging.append(centre)
+        return lagging
 
     def handle(self, now: float, msg: RolloutInput) -> list[RolloutOutput]:
         """Return the commands that follow from a message.
@@ -139,7 +151,7 @@
             case StoreFailed():
                 return self._on_store_failed(now)
             case PeerNumber():
-                return self._on_number(now, msg.process, msg.number)
+                return self._on_peer_number(now, msg.process, msg.number)
             case PeerDelta():
                 return self._on_delta(now, msg)
             case AskState():
@@ -166,10 +178,10 @@
         if head.number <= self.number:
             return []
         if self._watching and self.process != self.watchers[0]:
-            due = now + SECOND_DELAY_S
-            if self._pending is not None:
-                due = self._pending[0]
-            self._pending = (due, head)
+            due = now + SECOND_WATCHER_DELAY_S
+            if self._delayed_load is not None:
+                due = self._delayed_load[0]
+            self._delayed_load = (due, head)
             return []
         return [LoadConfig(head)]
 
@@ -188,16 +200,22 @@
         self._lag_since = None
         self.in_force_since = now
         self.ready = True
-        if self._pending is not None and self._pending[1].number <= self.number:
-            self._pending = None
+        if (
+            self._delayed_load is not None
+            and self._delayed_load[1].number <= self.number
+        ):
+            self._delayed_load = None
         return Configure(state.config)
 
     def _push(self, before: int) -> list[RolloutOutput]:
-        """Send the change to the live local peers, from what each is known to hold."""
+        """Return the sends of the changes that each live local peer lacks.
+
+        A peer that confirmed less than `before` gets the changes since what it has.
+        """
         deltas: dict[int, Delta] = {}
         out: list[RolloutOutput] = []
         for peer in self._members.local:
-            if peer == self.process or self._number_at(peer) >= self.number:
+            if peer == self.process or self._confirmed_number(peer) >= self.number:
                 continue
             base = min(before, self.confirmed.get(peer, before))
             if base not in deltas:
@@ -205,39 +223,41 @@
             out.append(Send(peer, PeerDelta(self.process, deltas[base])))
         return out
 
-    def _number_at(self, peer: str) -> int:
+    def _confirmed_number(self, peer: str) -> int:
         return self.number if peer == self.process else self.confirmed.get(peer, 0)
 
     def _on_store_failed(self, now: float) -> list[RolloutOutput]:
         self.store_ok = False
-        return [] if self.ready else self._ask_anyone(now)
+        return [] if self.ready else self._ask_all(now)
 
-    def _ask_anyone(self, now: float) -> list[RolloutOutput]:
-        """Ask local peers and one peer of each other data centre in turn."""
+    def _ask_all(self, now: float) -> list[RolloutOutput]:
+        """Ask all local peers and one peer of each other data centre for changes."""
         peers = [peer for peer in self._members.local if peer != self.process]
         peers += self._one_per_centre()
         return [out for peer in peers for out in self._ask(now, peer)]
 
     def _one_per_centre(self) -> list[str]:
-        self._turn += 1
+        self._rotation += 1
         return [
-            peers[self._turn % len(peers)]
+            peers[self._rotation % len(peers)]
             for centre, peers in sorted(self._members.remote.items())
             if peers and centre != self.data_centre
         ]
 
     def _ask(self, now: float, peer: str) -> list[RolloutOutput]:
-        if now < self._asked.get(peer, now):
+        if now < self._next_ask.get(peer, now):
             return []
-        self._asked[peer] = now + ASK_AGAIN_S
+        self._next_ask[peer] = now + ASK_AGAIN_S
         return [Send(peer, AskState(self.process, self.number))]
 
-    def _on_number(self, now: float, peer: str, number: int) -> list[RolloutOutput]:
+    def _on_peer_number(
+        self, now: float, peer: str, number: int
+    ) -> list[RolloutOutput]:
         if peer in self._members.local:
-            # A restarted peer starts again from 0, so the last report counts.
+            # Not the maximum: a restarted peer starts again at 0.
             self.confirmed[peer] = number
         if peer in self.watchers:
-            self._heard_watcher = now
+            self._watcher_heard_at = now
         if number <= self.number:
             return []
         if self._lag_since is None:
@@ -250,18 +270,18 @@
             known = self.confirmed.get(msg.process, 0)
             self.confirmed[msg.process] = max(known, number)
         if msg.process in self.watchers:
-            self._heard_watcher = now
+            self._watcher_heard_at = now
         if number <= self.number:
             return []
         try:
             state = self.state.apply_delta(msg.delta)
         except (ValueError, KeyError, TypeError):
-            # A peer of a newer version may send kinds that are unknown here.
+            # A peer of a newer version may send object kinds that are unknown here.
             self.unreadable += 1
             return []
         if state is None:
             return self._ask(now, msg.process)
-        # Confirming at once tells the watcher a second earlier than the heartbeat.
+        # Confirm now: the next heartbeat may be a second away.
         confirm = Send(msg.process, AskState(self.process, number))
         return [self._adopt(now, state), confirm]
 
@@ -283,23 +303,23 @@
             peers = (peer for peer in self._members.local if peer != self.process)
             out += [Send(peer, passed) for peer in peers]
             if msg.number > self.number:
-                # Also brings the change when only this data centre lost the store.
+                # The change arrives even if this data centre cannot reach the store.
                 out += self._ask(now, msg.process)
         return out
 
     def _on_tick(self, now: float) -> list[RolloutOutput]:
         out: list[RolloutOutput] = []
-        if self._pending is not None and now >= self._pending[0]:
-            out.append(LoadConfig(self._pending[1]))
-            self._pending = None
-        lonely = now - self._heard_watcher > LONELY_S
+        if self._delayed_load is not None and now >= self._delayed_load[0]:
+            out.append(LoadConfig(self._delayed_load[1]))
+            self._delayed_load = None
+        watchers_silent = now - self._watcher_heard_at > WATCHER_TIMEOUT_S
         lagging = self._lag_since is not None and now - self._lag_since > LAG_S
-        reads = self._watching or lonely or lagging or not self.ready
+        reads = self._watching or watchers_silent or lagging or not self.ready
         if now >= self._next_poll and reads:
             self._next_poll = now + POLL_S
             out.append(LoadConfig())
             if not self.ready:
-                out += self._ask_anyone(now)
+                out += self._ask_all(now)
         if self._watching and self.ready and now >= self._next_report:
             self._next_report = now + REPORT_S
             report = self._own_report()
@@ -308,11 +328,13 @@
 
     def _own_report(self) -> CentreReport:
         behind = self.behind(self.number)
-        lowest = min(map(self._number_at, self._members.local), default=self.number)
+        lowest = min(
+            map(self._confirmed_number, self._members.local), default=self.number
+        )
         return CentreReport(
             self.process,
             self.data_centre,
             self.number,
             lowest,
-            tuple(behind[:_SHOWN_BEHIND]),
+            tuple(behind[:_MAX_BEHIND_LISTED]),
         )
--- a/src/poplaryard/rollout_messages.py
+++ b/src/poplaryard/rollout_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the rollout of configurations."""
+"""Inputs and outputs of `Rollout`, which distributes the configuration."""
 
 import typing as t
 from dataclasses import dataclass, field
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Members:
-    """Live processes of this data centre and peers listed for the others.
+    """Live processes of this data centre, and known peers in the others.
 
     Attributes
     ----------
     local : tuple of str
-        Ids of the live members, with this process.
+        Ids of the live processes, including this one.
     remote : mapping
         Data centre to the peers listed for it in the settings.
     """
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadSeen:
-    """Head record as the watch, a poll or an accepted ticket shows it."""
+    """Head record received from the watch or from an accepted ticket."""
 
     head: Head
 
 
 @dataclass(frozen=True, slots=True)
 class Loaded:
-    """Configuration read from the store; number 0 if no ticket was ever accepted."""
+    """Configuration read from the store; its number is 0 before the first ticket."""
 
     state: ConfigState
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerNumber:
-    """Number in force at a peer, from its heartbeat."""
+    """Ticket number in force at a peer, from its heartbeat."""
 
     process: str
     number: int
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerDelta:
-    """Changes sent by a peer."""
+    """Changes of the configuration, sent by the peer `process`."""
 
     process: str
     delta: Delta
@@ -76,7 +76,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AskState:
-    """Number in force at a peer, with a request for all later changes."""
+    """Request of the peer `process` for all changes after `base`.
+
+    It also confirms that the peer has `base` in force.
+    """
 
     process: str
     base: int
@@ -84,16 +87,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CentreReport:
-    """What one data centre has in force.
+    """Ticket numbers in force in one data centre.
 
     Attributes
     ----------
+    process : str
+        Id of the reporting process.
     number : int
-        Number in force at the reporting process.
+        Ticket number in force at the reporting process.
     lowest : int
         Lowest number that a live process of the data centre has confirmed.
     behind : tuple of str
-        Some processes that have not confirmed `number`.
+        First processes that have not confirmed `number`.
+    passed_on : bool
+        Whether a process of the receiving data centre has forwarded the report.
     """
 
     process: str
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -222,7 +222,7 @@
         async def snapshot():
             await self.store.put_if("config/snapshot/0000000008/0000", part, 0)
             await self.store.put_if("config/head", value, head.version)
-            await Compactor(self.store, Loader(self.store))._sweep()
+            await Compactor(self.store, Loader(self.store))._delete_stale()
 
         asyncio.run(snapshot())
         self.assertEqual(2, len(self.config().services))
