--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -15,7 +15,7 @@
 from .fake_store import FakeStore, service, ticket, vm_group
 
 
-def filers(store, count=2):
+def acceptances(store, count=2):
     return [Acceptance(store, VirtualClock(), seed) for seed in range(count)]
 
 
@@ -23,16 +23,16 @@
     def setUp(self):
         super().setUp()
         self.store = FakeStore()
-        self.one, self.two = filers(self.store)
+        self.one, self.two = acceptances(self.store)
 
-    def file(self, *args, filer=None, **fields):
-        return asyncio.run((filer or self.one).file(ticket(*args, **fields)))
+    def file(self, *args, acceptance=None, **fields):
+        return asyncio.run((acceptance or self.one).file(ticket(*args, **fields)))
 
     def config(self):
         return asyncio.run(load(self.store))
 
     def test_two_filers_of_one_object_make_one_winner(self):
-        """Guards against a silent merge of two operators' changes."""
+        """Guards against one operator's change silently overwriting another's."""
 
         async def both():
             first = self.one.file(ticket("uid-a", service(replicas=3), author="Anna"))
@@ -48,8 +48,11 @@
         self.assertIn("based_on 1", loser.detail)
         self.assertEqual(1, self.config().number)
 
-    def test_waiting_in_one_process_is_also_a_race(self):
-        """Guards against the second of two queued filers overwriting the first."""
+    def test_queued_tickets_of_one_process_conflict(self):
+        """Guards against a ticket that waits for another and then overwrites it.
+
+        The second ticket is filed without `based_on` before the first is accepted.
+        """
 
         async def both():
             first = self.one.file(ticket("uid-a", service(replicas=3)))
@@ -60,13 +63,13 @@
         self.assertEqual([Code.TICKET_ACCEPTED, Code.TICKET_CONFLICT], codes)
 
     def test_filers_of_different_objects_both_win(self):
-        """Guards against needless conflicts in a burst."""
+        """Guards against conflicts between concurrent tickets for different objects."""
 
         async def both():
             names = [f"svc-{number}" for number in range(8)]
-            filer = (self.one, self.two)
+            pair = (self.one, self.two)
             tasks = [
-                filer[n % 2].file(ticket(f"uid-{name}", service(name)))
+                pair[n % 2].file(ticket(f"uid-{name}", service(name)))
                 for n, name in enumerate(names)
             ]
             return await asyncio.gather(*tasks)
@@ -76,7 +79,7 @@
         self.assertEqual(8, len(self.config().services))
 
     def test_same_uid_at_two_processes_is_accepted_once(self):
-        """Guards against a client's retry at another entry VM applying twice."""
+        """Guards against a ticket applied twice by a retry at another process."""
 
         async def both():
             same = ticket("uid-a")
@@ -86,21 +89,24 @@
         self.assertEqual([1, 1], [result.number for result in results])
 
     def test_uid_is_answered_after_it_left_the_head(self):
-        """Guards against a late retry of an old ticket undoing newer ones."""
+        """Guards against a late retry of an old ticket that undoes newer ones."""
         self.file("uid-first", service(replicas=1))
         for number in range(300):
             self.file(f"uid-{number}", service(replicas=number))
-        again = self.file("uid-first", service(replicas=1), filer=self.two)
+        again = self.file("uid-first", service(replicas=1), acceptance=self.two)
         self.assertEqual((Code.TICKET_ACCEPTED, 1), (again.code, again.number))
         self.assertEqual(299, self.config().services["booking"].replicas)
-        other = self.file("uid-first", service(replicas=7), filer=self.two)
+        other = self.file("uid-first", service(replicas=7), acceptance=self.two)
         self.assertEqual(Code.TICKET_REUSED, other.code)
 
     def test_uid_of_a_slow_filing_is_found_in_the_history(self):
-        """Guards against a ticket filed twice after it lost many races."""
+        """Guards against a ticket accepted twice after many failed swaps.
+
+        The ticket gets a number far above the one that its uid record starts with.
+        """
         for overtakers in (30, 140):
             self.store = FakeStore()
-            self.one, self.two = filers(self.store)
+            self.one, self.two = acceptances(self.store)
             self.file("uid-base", service("slow", 9))
             for number in range(119):
                 self.file(f"early-{number}", service("y", number))
@@ -115,19 +121,19 @@
             first = self.file("uid-slow", service("slow"))
             for number in range(400):
                 self.file(f"more-{number}", service("y", number))
-            again = self.file("uid-slow", service("slow"), filer=self.two)
+            again = self.file("uid-slow", service("slow"), acceptance=self.two)
             self.assertEqual(overtakers + 121, first.number)
             self.assertEqual(first.number, again.number)
 
     def test_outage_at_any_call_leaves_nothing_and_says_so(self):
-        """Guards against a ticket that is half in force after an outage."""
+        """Guards against a ticket that is partly in force after an outage."""
         for position in range(12):
             for fault in ("down", "lost", "dropped"):
                 self._check_fault(position, fault)
 
     def _check_fault(self, position, fault):
         store = FakeStore()
-        one, two = filers(store)
+        one, two = acceptances(store)
         asyncio.run(one.file(ticket("uid-0", service("other"))))
         store.fail_call(position, fault)
         wanted = ticket("uid-a", service(replicas=5))
@@ -145,7 +151,7 @@
         """Guards against "not accepted" for a ticket that is in force."""
         for fault, number in (("lost", 1), ("dropped", 0)):
             store = FakeStore()
-            one, two = filers(store)
+            one, two = acceptances(store)
             store.fail("put_if", "config/head", fault)
             store.hooks.append(_down_after_swap(store))
             result = asyncio.run(one.file(ticket("uid-a")))
@@ -155,7 +161,7 @@
             self.assertEqual(1, asyncio.run(two.file(ticket("uid-a"))).number)
 
     def test_outage_after_a_lost_race_is_not_accepted(self):
-        """Guards against "unknown" for a ticket that surely was not accepted."""
+        """Guards against "unknown" for a ticket that cannot have been accepted."""
         self.store.fail("put_if", "config/head", "dropped")
 
         async def overtake(method, key):
@@ -169,20 +175,20 @@
         self.assertEqual(Code.TICKET_NOT_ACCEPTED, result.code)
 
     def test_lost_race_costs_no_second_write_of_the_object(self):
-        """Guards against bursts that use up the store's write budget."""
+        """Guards against writing objects again, which uses up the write budget."""
 
         async def burst():
             names = [f"svc-{number}" for number in range(6)]
-            group = filers(self.store, 6)
+            group = acceptances(self.store, 6)
             tasks = [
-                filer.file(ticket(f"uid-{name}", service(name)))
-                for filer, name in zip(group, names, strict=True)
+                acceptance.file(ticket(f"uid-{name}", service(name)))
+                for acceptance, name in zip(group, names, strict=True)
             ]
             return await asyncio.gather(*tasks)
 
         self.assertTrue(all(result.ok for result in asyncio.run(burst())))
-        kept = [key for key in self.store.entries if key.startswith("config/object")]
-        self.assertEqual(6, len(kept))
+        stored = [key for key in self.store.entries if key.startswith("config/object")]
+        self.assertEqual(6, len(stored))
         self.assertEqual(6, len(self.config().services))
 
     def test_values_deleted_during_a_long_race_are_written_again(self):
@@ -202,7 +208,11 @@
         self.assertEqual(2, len(self.config().services))
 
     def test_value_written_early_survives_a_compaction(self):
-        """Guards against deleting a value whose ticket came after the snapshot."""
+        """Guards against the deletion of a value that the snapshot lacks.
+
+        The value has a planned number before the snapshot, but its ticket was accepted
+        after it.
+        """
 
         async def overtake(method, key):
             if (method, key) == ("put_if", "config/head"):
@@ -215,9 +225,9 @@
         head = self.store.entries["config/head"]
         value = {**head.value, "snapshot": 8, "snapshot_parts": 1}
         state = asyncio.run(Loader(self.store).refresh())
-        early = {k: [r, v] for k, (r, v) in state.delta(0).objects.items()}
-        early.pop("service/slow")
-        part = {"format": 1, "objects": early}
+        objects = {k: [r, v] for k, (r, v) in state.delta(0).objects.items()}
+        objects.pop("service/slow")
+        part = {"format": 1, "objects": objects}
 
         async def snapshot():
             await self.store.put_if("config/snapshot/0000000008/0000", part, 0)
@@ -227,8 +237,8 @@
         asyncio.run(snapshot())
         self.assertEqual(2, len(self.config().services))
 
-    def test_base_too_old_to_judge_is_a_conflict(self):
-        """Guards against reviving an object whose removal is forgotten."""
+    def test_base_before_the_horizon_is_a_conflict(self):
+        """Guards against the return of an object whose removal is no longer listed."""
         self.file("uid-first", service("gone"))
         self.file("uid-second", {"kind": "service", "name": "gone", "remove": True})
         for number in range(300):
@@ -238,7 +248,7 @@
         self.assertIn("too old", result.detail)
 
     def test_loser_cannot_replace_the_winners_value(self):
-        """Guards against the loser's value standing under the winner's number."""
+        """Guards against a refused value stored under an accepted ticket's number."""
 
         async def overtake(method, key):
             if (method, key) == ("put_if", "config/head"):
@@ -252,7 +262,7 @@
         self.assertEqual(4, self.config().services["booking"].replicas)
 
     def test_stale_and_future_bases_are_refused(self):
-        """Guards against an edit of an old state undoing a newer one."""
+        """Guards against an edit of an old state that undoes a newer change."""
         self.file("uid-1", service(replicas=1))
         self.file("uid-2", service("other"))
         self.file("uid-3", {"kind": "service", "name": "booking", "remove": True})
@@ -264,7 +274,7 @@
         self.assertEqual(Code.TICKET_INVALID, future.code)
 
     def test_lapsed_retention_lease_is_replaced(self):
-        """Guards against tickets refused, or history lost, once a lease is gone."""
+        """Guards against refused tickets or a lost history after a lease has lapsed."""
         for number in range(256):
             self.file(f"uid-{number}", service(replicas=number))
         self.store.leases.clear()
@@ -281,14 +291,14 @@
         self.assertTrue(self.file("uid-last").ok)
 
     def test_vm_in_two_groups_is_refused(self):
-        """Guards against one VM being given twice the work that it can hold."""
+        """Guards against a VM that is given twice the work that it can hold."""
         self.assertTrue(self.file("uid-1", vm_group("first", 3)).ok)
         result = self.file("uid-2", vm_group("second", 3, first=2))
         self.assertEqual(Code.TICKET_INVALID, result.code)
         self.assertIn('"first" and in "second"', result.detail)
 
     def test_number_of_shards_is_fixed_once_there_are_vms(self):
-        """Guards against keys whose new home does not know what still runs (P2, P5)."""
+        """Guards against a key whose new shard does not know what runs (P2, P5)."""
         self.file("uid-1", {"kind": "policy", "shards_per_data_centre": 2})
         self.file("uid-2", vm_group())
         result = self.file("uid-3", {"kind": "policy", "shards_per_data_centre": 3})
@@ -298,7 +308,7 @@
         self.assertEqual(Code.TICKET_ACCEPTED, self.file("uid-4", same).code)
 
     def test_too_large_ticket_is_refused(self):
-        """Guards against a value that the store would refuse in the middle."""
+        """Guards against a ticket that the store refuses after a part is written."""
         result = self.file("uid-1", vm_group(vms=12_000))
         self.assertEqual(Code.TICKET_TOO_LARGE, result.code)
 
@@ -312,24 +322,24 @@
         ),
     )
     def test_configuration_is_that_of_the_accepted_tickets(self, seed, names, faults):
-        """Guards against lost, doubled or merged tickets under races and faults."""
+        """Guards against tickets lost, applied twice or merged in races and faults."""
         store = FakeStore(seed)
         for position, fault in faults:
             store.fail_call(position, fault)
         asyncio.run(self._race(store, names))
 
     async def _race(self, store, names):
-        group = filers(store, 3)
-        filed = [
+        group = acceptances(store, 3)
+        wanted = [
             ticket(f"uid-{n}", service(name, n, team=f"t{n}"))
             for n, name in enumerate(names)
         ]
-        compact = Compactor(store, group[0].loader)
-        tasks = [group[n % 3].file(item) for n, item in enumerate(filed)]
+        compactor = Compactor(store, group[0].loader)
+        tasks = [group[n % 3].file(item) for n, item in enumerate(wanted)]
         await asyncio.gather(*tasks)
         store.faults, store.call_faults = {}, {}
-        results = [await group[0].file(item) for item in filed]
-        await compact.run()
+        results = [await group[0].file(item) for item in wanted]
+        await compactor.run()
         accepted = sorted(
             (result.number, n) for n, result in enumerate(results) if result.ok
         )
@@ -337,7 +347,7 @@
         self.assertEqual(list(range(1, head.number + 1)), [n for n, _ in accepted])
         expected = Configuration()
         for number, index in accepted:
-            expected = tickets.apply(expected, number, filed[index])
+            expected = tickets.apply(expected, number, wanted[index])
         self.assertEqual(expected, await load(store))
 
 
--- a/tests/test_compaction.py
+++ b/tests/test_compaction.py
@@ -36,7 +36,7 @@
         return Compactor(self.store, Loader(self.store), every)
 
     def test_snapshot_bounds_what_is_stored_and_read(self):
-        """Guards against a store and a start that grow with every ticket."""
+        """Guards against storage and startup reads that grow with every ticket."""
 
         async def run():
             for _ in range(4):
@@ -49,8 +49,8 @@
             self.assertEqual(1 + 1 + 3, self.store.calls["get"] - before["get"])
 
         asyncio.run(run())
-        kept = [key for key in self.store.entries if key.startswith("config/object")]
-        self.assertEqual(3, len(kept))
+        stored = [key for key in self.store.entries if key.startswith("config/object")]
+        self.assertEqual(3, len(stored))
         sizes = [len(json.dumps(e.value)) for e in self.store.entries.values()]
         self.assertLess(max(sizes), 1_000_000)
 
@@ -71,7 +71,7 @@
         self.assertEqual(self.expected, await load(self.store), (position, fault))
 
     def test_reader_with_an_old_head_reads_again(self):
-        """Guards against a load that misses objects deleted under it."""
+        """Guards against a load that lacks objects deleted while it reads."""
 
         async def run():
             await self.file(SNAPSHOT_EVERY)
@@ -94,14 +94,14 @@
             await ahead.refresh()
             self.store.entries["config/head"] = head_value
             self.assertFalse(await Compactor(self.store, ahead, 4).run())
-            foreign = {"format": 1, "objects": {}}
-            await self.store.put_if("config/snapshot/0000000006/0000", foreign, 0)
+            other_part = {"format": 1, "objects": {}}
+            await self.store.put_if("config/snapshot/0000000006/0000", other_part, 0)
             self.assertFalse(await self.compactor(4).run())
 
         asyncio.run(run())
 
     def test_loaded_state_knows_every_recent_removal(self):
-        """Guards against a peer that keeps an object because nobody tells it."""
+        """Guards against a peer that is not told of the removal of an object."""
 
         async def run():
             await self.file(2)
@@ -109,13 +109,13 @@
             removal = {"kind": "service", "name": "svc-1", "remove": True}
             self.assertTrue((await self.filer.file(ticket("uid-x", removal))).ok)
             new = await Loader(self.store).refresh()
-            after = old.apply_delta(new.delta(2))
-            self.assertEqual(["svc-2"], list(after.config.services))
+            updated = old.apply_delta(new.delta(2))
+            self.assertEqual(["svc-2"], list(updated.config.services))
 
         asyncio.run(run())
 
-    def test_object_of_a_newer_version_is_refused_with_a_sentence(self):
-        """Guards against an old process that dies of a newer one's object."""
+    def test_object_of_a_newer_version_is_refused(self):
+        """Guards against an unhandled error for an object of a newer version."""
 
         async def run():
             await self.file(1)
@@ -135,7 +135,7 @@
         asyncio.run(run())
 
     def test_parts_stay_below_the_value_limit(self):
-        """Guards against a snapshot that the store refuses at full size."""
+        """Guards against a snapshot of a full-size site that the store refuses."""
 
         async def run():
             for dc in range(8):
--- a/tests/test_config_io.py
+++ b/tests/test_config_io.py
@@ -11,7 +11,7 @@
 
 
 class ConfigTaskTest(testtools.TestCase):
-    """Two processes over one store; the test carries messages between them."""
+    """Two processes with one store. The test delivers messages between them."""
 
     def setUp(self):
         super().setUp()
@@ -45,20 +45,20 @@
 
         asyncio.run(run())
 
-    async def until(self, condition):
+    async def wait_until(self, condition):
         while not condition():  # noqa: ASYNC110
             await asyncio.sleep(0.005)
 
-    def test_a_ticket_comes_into_force_and_is_pushed(self):
-        """Guards against a change that only the watchers see (P8)."""
+    def test_ticket_comes_into_force_and_is_pushed(self):
+        """Guards against a change that reaches only the watchers (P8)."""
 
         async def scenario(one, two):
             one.start()
-            await self.until(lambda: one.rollout.ready)
+            await self.wait_until(lambda: one.rollout.ready)
             filer = Acceptance(self.store, self.clock)
             await filer.file(ticket("uid-1", service()))
-            await self.until(lambda: 1 in self.applied["p#1"])
-            await self.until(lambda: any(to == "q#1" for to, _ in self.sent))
+            await self.wait_until(lambda: 1 in self.applied["p#1"])
+            await self.wait_until(lambda: any(to == "q#1" for to, _ in self.sent))
             for to, message in list(self.sent):
                 if to == "q#1" and isinstance(message, PeerDelta):
                     two.handle(message)
@@ -66,7 +66,7 @@
 
         self.run_tasks(scenario)
 
-    def test_a_store_that_is_down_keeps_the_process_not_ready(self):
+    def test_process_is_not_ready_while_the_store_is_down(self):
         """Guards against a process that serves without a configuration."""
         self.store.down = True
 
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -19,7 +19,7 @@
 
 
 class TicketsTest(testtools.TestCase):
-    def refusal(self, *objects, **fields):
+    def refused_detail(self, *objects, **fields):
         exc = self.assertRaises(CallError, ticket, "uid-1", *objects, **fields)
         self.assertEqual(Code.TICKET_INVALID, exc.code)
         return exc.detail
@@ -36,17 +36,17 @@
         self.assertEqual(600.0, config.batches["pricing"].declared_s)
 
     def test_stored_format_1_stays_readable(self):
-        """Guards against a release that cannot start on the store of an earlier one."""
-        kept = json.loads((_DATA / "store-v1.json").read_text())
+        """Guards against a release that cannot load the store of an earlier one."""
+        saved = json.loads((_DATA / "store-v1.json").read_text())
         store = FakeStore()
-        for version, (key, value) in enumerate(kept["store"].items(), start=1):
+        for version, (key, value) in enumerate(saved["store"].items(), start=1):
             store.entries[key] = Entry(key, value, version)
         config = asyncio.run(load(store))
-        self.assertEqual(tickets.decode(kept["configuration"]), config)
+        self.assertEqual(tickets.decode(saved["configuration"]), config)
         self.assertEqual((2, {}), (config.number, config.teams))
 
     def test_encoding_keeps_every_field(self):
-        """Guards against a field that is lost between two processes."""
+        """Guards against a field that is lost in encoding or decoding."""
         item = tickets.parse((_DATA / "ticket-v1.jsonc").read_text())
         config = tickets.apply(configuration(), 7, item)
         encoded = json.loads(json.dumps(tickets.encode(config)))
@@ -54,33 +54,35 @@
         wrong = {**encoded, "format": 2}
         self.assertRaises(CallError, tickets.decode, wrong)
 
-    def test_faults_are_told_in_plain_sentences(self):
-        """Guards against an error that an operator cannot understand."""
+    def test_error_messages_name_object_field_and_fault(self):
+        """Guards against an error message that does not say what to correct."""
         self.assertEqual(
             'In service "booking", "cpu" must be an amount with a unit, such as '
             '"8 cores".',
-            self.refusal(service(cpu="8 coors")),
+            self.refused_detail(service(cpu="8 coors")),
         )
         self.assertEqual(
             'In service "booking", "replcas" is not a known field (did you mean '
             '"replicas"?).',
-            self.refusal(service(replcas=3)),
+            self.refused_detail(service(replcas=3)),
         )
         self.assertEqual(
             'In service "a/b", "name" must have 1 to 63 letters, digits, dots, dashes '
             "or underscores.",
-            self.refusal(service("a/b")),
+            self.refused_detail(service("a/b")),
         )
         exc = self.assertRaises(CallError, ticket, "x")
         self.assertIn("4 to 80 letters", exc.detail)
-        self.assertIn("whole number", self.refusal(service(replicas="2")))
-        self.assertIn("is missing", self.refusal({"kind": "team"}))
-        self.assertIn("unknown kind", self.refusal({"kind": "teem", "name": "x"}))
-        self.assertIn("twice", self.refusal(service(), service()))
-        self.assertIn('"format"', self.refusal(format=2))
+        self.assertIn("whole number", self.refused_detail(service(replicas="2")))
+        self.assertIn("is missing", self.refused_detail({"kind": "team"}))
+        self.assertIn(
+            "unknown kind", self.refused_detail({"kind": "teem", "name": "x"})
+        )
+        self.assertIn("twice", self.refused_detail(service(), service()))
+        self.assertIn('"format"', self.refused_detail(format=2))
 
     def test_ambiguous_values_are_refused(self):
-        """Guards against a size read in the wrong unit."""
+        """Guards against an amount that is read in the wrong unit or rounded."""
         for field, value in [
             ("memory", "32"),
             ("memory", 32),
@@ -92,20 +94,20 @@
             ("drain", "0 s"),
             ("name", "a/b"),
         ]:
-            self.refusal(service(**{field: value}))
+            self.refused_detail(service(**{field: value}))
 
     def test_group_must_be_consistent(self):
         """Guards against a VM that is listed twice or leaves without being listed."""
         group = vm_group(vms=2)
-        self.refusal({**group, "vms": [group["vms"][0], group["vms"][0]]})
+        self.refused_detail({**group, "vms": [group["vms"][0], group["vms"][0]]})
         same = {**group["vms"][1], "address": group["vms"][0]["address"]}
         self.assertIn(
-            "address", self.refusal({**group, "vms": [group["vms"][0], same]})
+            "address", self.refused_detail({**group, "vms": [group["vms"][0], same]})
         )
-        self.assertIn("leaves", self.refusal({**group, "leaving": ["nobody"]}))
+        self.assertIn("leaves", self.refused_detail({**group, "leaving": ["nobody"]}))
 
-    def test_apply_leaves_the_old_configuration_alone(self):
-        """Guards against a change that shows before it is in force."""
+    def test_apply_does_not_change_the_old_configuration(self):
+        """Guards against a change that is visible to readers of the old state."""
         before = configuration()
         removal = {"kind": "service", "name": "booking", "remove": True}
         after = tickets.apply(before, 2, ticket("uid-1", removal, service("new")))
