--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -132,8 +132,12 @@
         return await self._swap_head(filing, next_head, version)
 
     async def _check_config(self, filing: Filing, head: Head) -> None:
-        checked = (tickets.POLICY_KEY, "vm_group/")
-        if not any(key.startswith(checked) for key in filing.objects):
+        """Raise `CallError` if the ticket breaks a rule for shards or VMs.
+
+        Skipped if the state is already newer than `head`, as the swap then fails.
+        """
+        checked_prefixes = (tickets.POLICY_KEY, "vm_group/")
+        if not any(key.startswith(checked_prefixes) for key in filing.objects):
             return
         state = await self.loader.refresh(head)
         if state.number == head.number:
@@ -144,7 +148,7 @@
     async def _put_uid_record(
         self, filing: Filing, head: Head
     ) -> AcceptedTicket | None:
-        """Write the uid record for an attempt to accept the ticket after a head.
+        """Write the uid record, so that the ticket may be accepted after a head.
 
         Returns
         -------
@@ -176,7 +180,13 @@
     async def _find_in_history(
         self, filing: Filing, head: Head
     ) -> AcceptedTicket | None:
-        """Return the entry of the uid in the history, or None if it is not there."""
+        """Return the entry of the uid in the history, or None if it is not there.
+
+        Raises
+        ------
+        CallError
+            `TICKET_REUSED` if a history block that may list the uid has expired.
+        """
         assert filing.record is not None
         first = head.tickets[0].number if head.tickets else 1
         keys = {
@@ -198,6 +208,7 @@
         return None
 
     async def _check_base(self, filing: Filing, head: Head) -> None:
+        """Raise `CallError` if an object was changed since the ticket's base."""
         base = filing.base
         if base > head.number:
             detail = f"The ticket is based on number {base}, but the last number is "
@@ -302,6 +313,7 @@
     async def _swap_head(
         self, filing: Filing, next_head: Head, version: int
     ) -> FileResult | None:
+        """Replace the head of a version; return None if that failed or is unknown."""
         value = next_head.to_json()
         if tickets.json_size(value) > MAX_VALUE_BYTES:
             detail = "There are too many objects for one head record; remove some."
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -52,9 +52,10 @@
 
 
 async def read_ticket(store: Store, number: int) -> dict[str, t.Any] | None:
-    """Return an accepted ticket with its entry, or None if it is no longer kept.
+    """Return the entry and the text of an accepted ticket.
 
-    The item ``ticket`` is None if the text of the ticket is no longer kept.
+    The result is None if there is no such ticket or its entry has expired. Its item
+    ``ticket`` is None if only the text has expired.
     """
     head, _entry = await read_head(store)
     entry = head.entry_by_number(number)
--- a/src/poplaryard/rollout.py
+++ b/src/poplaryard/rollout.py
@@ -196,6 +196,7 @@
         return [self._adopt(now, state), *self._push(before)]
 
     def _adopt(self, now: float, state: ConfigState) -> Configure:
+        """Put a newer state in force."""
         self.state = state
         self._lag_since = None
         self.in_force_since = now
@@ -208,9 +209,9 @@
         return Configure(state.config)
 
     def _push(self, before: int) -> list[RolloutOutput]:
-        """Return the sends of the changes that each live local peer lacks.
+        """Return commands that send each live local peer the changes that it lacks.
 
-        A peer that confirmed less than `before` gets the changes since what it has.
+        A peer that confirmed less than `before` gets the changes after that number.
         """
         deltas: dict[int, Delta] = {}
         out: list[RolloutOutput] = []
@@ -314,8 +315,8 @@
             self._delayed_load = None
         watchers_silent = now - self._watcher_heard_at > WATCHER_TIMEOUT_S
         lagging = self._lag_since is not None and now - self._lag_since > LAG_S
-        reads = self._watching or watchers_silent or lagging or not self.ready
-        if now >= self._next_poll and reads:
+        polls = self._watching or watchers_silent or lagging or not self.ready
+        if now >= self._next_poll and polls:
             self._next_poll = now + POLL_S
             out.append(LoadConfig())
             if not self.ready:
--- a/src/poplaryard/tickets.py
+++ b/src/poplaryard/tickets.py
@@ -189,7 +189,7 @@
 
 
 def encode_changes(ticket: Ticket) -> dict[str, dict[str, t.Any] | None]:
-    """Return the stored form of each object of a ticket by key; None for a removal."""
+    """Map the key of each object of a ticket to its stored form; None for a removal."""
     return {
         key: None if isinstance(item, Removal) else encode_object(item.spec())
         for key, item in zip(ticket.object_keys(), ticket.objects, strict=True)
@@ -197,7 +197,7 @@
 
 
 def apply(config: Configuration, number: int, ticket: Ticket) -> Configuration:
-    """Return the configuration after a ticket that gets a number."""
+    """Return the configuration after a ticket is applied as ticket `number`."""
     specs: dict[str, Spec | None] = {
         key: None if isinstance(item, Removal) else item.spec()
         for key, item in zip(ticket.object_keys(), ticket.objects, strict=True)
