--- a/src/poplaryard/audit.py
+++ b/src/poplaryard/audit.py
@@ -1,4 +1,4 @@
-"""Audit trail: a bounded ring in memory, flushed to the store in groups."""
+"""Audit trail: a bounded buffer in memory, flushed to the store in groups."""
 
 import collections
 import itertools
@@ -13,29 +13,37 @@
 
 __all__ = ["AuditFilter", "AuditLog", "AuditWriter"]
 
+# A group is flushed when its oldest event is this old or this many events wait.
 FLUSH_S = 10.0
 FLUSH_ENTRIES = 500
 # A group of this many entries of at most 400 bytes stays below the 1 MB value limit.
 GROUP_ENTRIES = 2000
 RING_ENTRIES = 20_000
-# At this interval per process, 120 processes make at most 120 writes/s.
+# Minimum interval between the flushes of a process, so that 120 processes make at
+# most 120 writes/s.
 MIN_FLUSH_S = 1.0
 RETENTION_S = 7 * 86_400.0
-# Groups of one hour share a lease; the store deletes them when it lapses.
+# The groups of one hour share a lease; the store deletes them when the lease lapses.
 LEASE_SPAN_S = 3600.0
-_MAX_TEXT = 200
+_MAX_TEXT_CHARS = 200
 
 
 @dataclass(frozen=True, slots=True)
 class AuditFilter:
-    """Which events to return; empty fields match all.
+    """Criteria for events; a field with its default value matches every event.
 
     Attributes
     ----------
     since : float
         Earliest time, seconds since the Unix epoch.
+    ticket : int
+        Number of a ticket.
+    vm : str
+        Name of a VM.
     job : str
         Request id of a job.
+    limit : int
+        Maximum number of events returned; the newest are kept.
     """
 
     since: float = 0.0
@@ -45,7 +53,7 @@
     limit: int = 1000
 
     def matches(self, event: AuditEvent) -> bool:
-        """Tell whether an event is wanted."""
+        """Return whether an event meets the criteria; `limit` is not considered."""
         return (
             event.at >= self.since
             and self.ticket in (0, event.ticket)
@@ -55,78 +63,85 @@
 
 
 class AuditLog:
-    """Ring of the last events of this process.
+    """Buffer of the newest events of this process.
 
     Parameters
     ----------
     capacity : int
-        Events kept; the oldest are dropped first.
+        Maximum number of events kept; the oldest are dropped first.
 
     Attributes
     ----------
     recorded, flushed, lost : int
-        Counts of events; `lost` were dropped before they were flushed.
+        Counts of events; lost events were dropped before they were flushed.
     """
 
     def __init__(self, capacity: int = RING_ENTRIES):
-        self._ring: collections.deque[AuditEvent] = collections.deque(maxlen=capacity)
-        self._waiting: collections.deque[AuditEvent] = collections.deque()
+        self._recent: collections.deque[AuditEvent] = collections.deque(maxlen=capacity)
+        self._unflushed: collections.deque[AuditEvent] = collections.deque()
         self._capacity = capacity
         self._last_flush = float("-inf")
-        self._oldest: float | None = None
+        self._oldest_at: float | None = None
         self.recorded = 0
         self.flushed = 0
         self.lost = 0
 
     @property
-    def waiting(self) -> int:
+    def unflushed(self) -> int:
         """Number of events not yet flushed."""
-        return len(self._waiting)
+        return len(self._unflushed)
 
     def add(self, now: float, event: AuditEvent) -> None:
         """Record an event; `now` is monotonic time in seconds."""
         self.recorded += 1
-        self._ring.append(event)
-        if len(self._waiting) >= self._capacity:
-            self._waiting.popleft()
+        self._recent.append(event)
+        if len(self._unflushed) >= self._capacity:
+            self._unflushed.popleft()
             self.lost += 1
-        if not self._waiting:
-            self._oldest = now
-        self._waiting.append(event)
+        if not self._unflushed:
+            self._oldest_at = now
+        self._unflushed.append(event)
 
-    def due(self, now: float) -> bool:
-        """Tell whether a group should be flushed now."""
-        if not self._waiting or now - self._last_flush < MIN_FLUSH_S:
+    def flush_due(self, now: float) -> bool:
+        """Return whether a group should be flushed now."""
+        if not self._unflushed or now - self._last_flush < MIN_FLUSH_S:
             return False
-        waited = now - (self._oldest if self._oldest is not None else now)
-        return len(self._waiting) >= FLUSH_ENTRIES or waited >= FLUSH_S
+        waited = now - (self._oldest_at if self._oldest_at is not None else now)
+        return len(self._unflushed) >= FLUSH_ENTRIES or waited >= FLUSH_S
 
-    def group(self, now: float) -> list[AuditEvent]:
-        """Return the oldest events for one group; they stay until `flushed_group`."""
+    def next_group(self, now: float) -> list[AuditEvent]:
+        """Return the oldest unflushed events; they are kept until `mark_flushed`."""
         self._last_flush = now
-        return list(itertools.islice(self._waiting, GROUP_ENTRIES))
+        return list(itertools.islice(self._unflushed, GROUP_ENTRIES))
 
-    def flushed_group(self, now: float, group: t.Sequence[AuditEvent]) -> None:
-        """Forget the events of a group that the store has taken."""
-        held = set(map(id, group))
-        while self._waiting and id(self._waiting[0]) in held:
-            self._waiting.popleft()
+    def mark_flushed(self, now: float, group: t.Sequence[AuditEvent]) -> None:
+        """Remove the events of a stored group from the unflushed events."""
+        flushed = set(map(id, group))
+        while self._unflushed and id(self._unflushed[0]) in flushed:
+            self._unflushed.popleft()
         self.flushed += len(group)
-        self._oldest = now if self._waiting else None
+        self._oldest_at = now if self._unflushed else None
 
-    def search(self, wanted: AuditFilter) -> list[AuditEvent]:
+    def search(self, criteria: AuditFilter) -> list[AuditEvent]:
         """Return the newest matching events, oldest first."""
-        found = (event for event in reversed(self._ring) if wanted.matches(event))
-        return list(itertools.islice(found, wanted.limit))[::-1]
+        matching = (
+            event for event in reversed(self._recent) if criteria.matches(event)
+        )
+        return list(itertools.islice(matching, criteria.limit))[::-1]
 
 
 class AuditWriter:
-    """Writes the groups of a log to the store.
+    """Writes the events of an audit log to the store in groups.
 
     Parameters
     ----------
     process : str
-        Process id with its incarnation, so that a restart starts new keys.
+        Process id with its incarnation, so that a restarted process uses new keys.
+
+    Attributes
+    ----------
+    failures : int
+        Count of failed writes.
     """
 
     def __init__(
@@ -137,71 +152,74 @@
         self._log = log
         self._data_centre = data_centre
         self._prefix = f"audit/{data_centre}/{process}"
-        self._next = 1
-        self._lease = RetentionLease(store, clock, RETENTION_S, LEASE_SPAN_S)
+        self._next_number = 1
+        self._retention = RetentionLease(store, clock, RETENTION_S, LEASE_SPAN_S)
         self.failures = 0
 
     async def flush_if_due(self, *, force: bool = False) -> bool:
         """Write one group if it is due; return whether one was written."""
         now = self._clock.now()
-        if not (self._log.due(now) or (force and self._log.waiting)):
+        if not (self._log.flush_due(now) or (force and self._log.unflushed)):
             return False
-        group = self._log.group(now)
+        group = self._log.next_group(now)
         try:
             await self._write(group)
         except (StoreDown, StoreReplyLost):
             self.failures += 1
             return False
-        self._log.flushed_group(self._clock.now(), group)
+        self._log.mark_flushed(self._clock.now(), group)
         return True
 
     async def _write(self, group: list[AuditEvent]) -> None:
-        lease = await self._lease.current()
+        lease = await self._retention.current()
         value = {
             "format": 1,
             "lost": self._log.lost,
-            "events": [_brief(event) for event in group],
+            "events": [_encode_event(event) for event in group],
         }
         try:
             await self._store.put_if(self._key(), value, 0, lease)
         except StoreConflict:
-            await self._resolve(value, lease)
-        self._next += 1
-
-    async def _resolve(self, value: dict[str, t.Any], lease: str) -> None:
-        """Handle a key that an earlier write with a lost reply has taken."""
-        held = await self._store.get(self._key())
-        if held is None:
-            self._lease.invalidate()
+            await self._resolve_conflict(value, lease)
+        self._next_number += 1
+
+    async def _resolve_conflict(self, value: dict[str, t.Any], lease: str) -> None:
+        """Handle a key that exists because the reply to an earlier write was lost.
+
+        A conflict without an entry means that the retention lease has lapsed.
+        """
+        stored = await self._store.get(self._key())
+        if stored is None:
+            self._retention.invalidate()
             raise StoreDown("The retention lease has lapsed.")
-        if held.value != value:
-            # The earlier write took effect with fewer events; write the whole again.
-            await self._store.put_if(self._key(), value, held.version, lease)
+        if stored.value != value:
+            # The earlier write stored fewer events, so the whole group replaces it.
+            await self._store.put_if(self._key(), value, stored.version, lease)
 
     def _key(self) -> str:
-        return f"{self._prefix}/{self._next:08d}"
+        return f"{self._prefix}/{self._next_number:08d}"
 
-    async def search(self, wanted: AuditFilter) -> list[AuditEvent]:
+    async def search(self, criteria: AuditFilter) -> list[AuditEvent]:
         """Return matching events of the whole data centre, oldest first.
 
-        Events that were not flushed yet are found only on the process that holds them.
+        Unflushed events of other processes are not found.
         """
         entries = await self._store.scan(f"audit/{self._data_centre}/")
-        found = {event for entry in entries for event in _events(entry.value)}
-        found.update(self._log.search(wanted))
-        matching = sorted(filter(wanted.matches, found), key=lambda event: event.at)
-        return matching[-wanted.limit :]
+        found = {event for entry in entries for event in _decode_events(entry.value)}
+        found.update(self._log.search(criteria))
+        matching = sorted(filter(criteria.matches, found), key=lambda event: event.at)
+        return matching[-criteria.limit :]
 
 
-def _brief(event: AuditEvent) -> dict[str, t.Any]:
-    """Return an event as JSON, without empty fields and with bounded texts."""
+def _encode_event(event: AuditEvent) -> dict[str, t.Any]:
+    """Return an event as JSON, without empty fields and with texts cut to length."""
     return {
-        key: value[:_MAX_TEXT] if isinstance(value, str) else value
+        key: value[:_MAX_TEXT_CHARS] if isinstance(value, str) else value
         for key, value in asdict(event).items()
         if value
     }
 
 
-def _events(value: t.Mapping[str, t.Any]) -> t.Iterator[AuditEvent]:
+def _decode_events(value: t.Mapping[str, t.Any]) -> t.Iterator[AuditEvent]:
     for item in value["events"]:
         yield AuditEvent(**{"action": "", "at": 0.0, **item})
--- a/src/poplaryard/operator_context.py
+++ b/src/poplaryard/operator_context.py
@@ -1,4 +1,4 @@
-"""What the application offers to the routes for operators."""
+"""Implementation of the context that the operator routes need."""
 
 import asyncio
 import typing as t
@@ -12,25 +12,25 @@
 from .head import Head
 from .messages import AuditEvent
 from .rollout import HeadSeen, Rollout, StoreFailed
-from .status import Alarm, Health, StatusBoard, health_of, screen
+from .status import Alarm, AlarmTracker, Health, build_health, render_status
 from .store import Store
 from .tickets import Ticket
 
 __all__ = ["OperatorService"]
 
-# An alarm's begin is known to this accuracy.
+# Interval between evaluations of the alarms; an alarm's start has this accuracy.
 OBSERVE_S = 2.0
 
 
 class OperatorService:
-    """Serves the operators' calls from the parts of one process.
+    """Operator context of one process: tickets, status and audit trail.
 
     Parameters
     ----------
     notify : callable
-        Takes what this learns of the store, for the rollout's task.
-    facts : callable
-        Returns further fields of `Health`, for example the queue lengths.
+        Passes a head read from the store, or a failed read, to the rollout's task.
+    health_fields : callable
+        Returns the fields of `Health` that the rollout does not know.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         notify: t.Callable[[HeadSeen | StoreFailed], None],
         log: AuditLog,
         writer: AuditWriter,
-        facts: t.Callable[[], t.Mapping[str, t.Any]] = dict,
+        health_fields: t.Callable[[], t.Mapping[str, t.Any]] = dict,
     ):
         self.operator_keys = operator_keys
         self._store = store
@@ -53,9 +53,9 @@
         self._notify = notify
         self._log = log
         self._writer = writer
-        self._facts = facts
-        self._board = StatusBoard()
-        self._observer: asyncio.Task[None] | None = None
+        self._health_fields = health_fields
+        self._alarm_tracker = AlarmTracker()
+        self._alarm_task: asyncio.Task[None] | None = None
 
     def config(self) -> Configuration | None:
         """Return the configuration in force here; None if there is none yet."""
@@ -76,7 +76,7 @@
         return result
 
     def missing(self, number: int) -> list[str]:
-        """Return where a ticket is not in force yet."""
+        """Return the processes and data centres where a ticket is not in force yet."""
         return self._rollout.missing(number)
 
     async def head(self) -> Head:
@@ -88,45 +88,45 @@
         return await read_ticket(self._store, number)
 
     async def status(self) -> tuple[Health, list[Alarm], str]:
-        """Return the health, the alarms, and the screen that tells them.
+        """Return the health, the alarms and the status as text.
 
-        Only the watchers read the store regularly, so it is asked here.
+        Only the watchers read the store regularly, so the head is read here.
         """
         try:
             self._notify(HeadSeen(await self.head()))
         except (StoreDown, StoreReplyLost):
             self._notify(StoreFailed())
-        return self._status()
+        return self._evaluate_status()
 
-    def _status(self) -> tuple[Health, list[Alarm], str]:
+    def _evaluate_status(self) -> tuple[Health, list[Alarm], str]:
         wall = self._clock.wall()
-        health = health_of(
+        health = build_health(
             self._rollout,
             self._clock.now(),
-            audit_waiting=self._log.waiting,
+            audit_waiting=self._log.unflushed,
             audit_lost=self._log.lost,
             audit_failures=self._writer.failures,
-            never_fits=self._board.never_fits(self._rollout.state.config),
-            **self._facts(),
+            never_fits=self._alarm_tracker.never_fits(self._rollout.state.config),
+            **self._health_fields(),
         )
-        alarms = self._board.alarms(wall, health)
-        return health, alarms, screen(wall, health, alarms)
+        alarms = self._alarm_tracker.alarms(wall, health)
+        return health, alarms, render_status(wall, health, alarms)
 
-    async def audit(self, wanted: AuditFilter) -> list[AuditEvent]:
+    async def audit(self, criteria: AuditFilter) -> list[AuditEvent]:
         """Return matching audit events, oldest first."""
-        return await self._writer.search(wanted)
+        return await self._writer.search(criteria)
 
     async def start(self) -> None:
-        """Look at the status regularly, so that alarms show since when they stand."""
-        self._observer = asyncio.create_task(self._observe())
+        """Start evaluating the alarms, so that the start of each is known."""
+        self._alarm_task = asyncio.create_task(self._track_alarms())
 
     async def stop(self) -> None:
-        """Stop looking at the status."""
-        if self._observer is not None:
-            self._observer.cancel()
-            await asyncio.gather(self._observer, return_exceptions=True)
+        """Stop evaluating the alarms."""
+        if self._alarm_task is not None:
+            self._alarm_task.cancel()
+            await asyncio.gather(self._alarm_task, return_exceptions=True)
 
-    async def _observe(self) -> None:
+    async def _track_alarms(self) -> None:
         while True:
-            self._status()
+            self._evaluate_status()
             await asyncio.sleep(OBSERVE_S)
--- a/src/poplaryard/status.py
+++ b/src/poplaryard/status.py
@@ -1,4 +1,4 @@
-"""Status screen: what is in force, what is wrong and since when, and what to do."""
+"""Status of a process as alarms and text."""
 
 import typing as t
 from collections.abc import Iterator
@@ -8,18 +8,19 @@
 from .rollout import Rollout
 from .ticket_check import unplaceable
 
-__all__ = ["ALARMS", "Alarm", "Health", "StatusBoard", "health_of", "screen"]
+__all__ = ["ALARMS", "Alarm", "Health", "AlarmTracker", "build_health", "render_status"]
 
-# A change may be this late before it is called late; promise P8 allows 3 s.
+# Time after which an unconfirmed change raises an alarm; a ticket must be in force
+# everywhere within 3 s.
 LATE_S = 3.0
-# A data centre whose report is older than this is called silent.
+# Age of a data centre's last report from which an alarm is raised.
 SILENT_S = 5.0
-_SHOWN = 5
+_MAX_NAMES = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """Facts from which the alarms follow; what is not known keeps its default.
+    """State from which the alarms are derived; unknown fields keep their defaults.
 
     Attributes
     ----------
@@ -28,13 +29,20 @@
     behind_s : float
         Seconds since `number` came into force here.
     centres : mapping
-        Other data centre to its lowest confirmed number and the report's age in s.
+        Name of each other data centre to its lowest confirmed number and the age of
+        its last report in seconds.
+    unreadable : int
+        Changes from peers that this version could not read.
+    audit_waiting, audit_lost, audit_failures : int
+        Audit entries not yet stored, entries dropped, and failed writes.
     ownerless : tuple of str
         Shards of this data centre without an owner.
     queued, shed : int
-        Waiting work, and work refused for lack of room in the last minute.
+        Waiting tasks, and requests refused for lack of capacity in the last minute.
     services : mapping
-        Service to its wanted and running replicas.
+        Name of each service to its wanted and running replicas.
+    never_fits : tuple of str
+        One sentence for each service or batch job that can never be placed.
     """
 
     process: str = ""
@@ -63,13 +71,15 @@
     never_fits: tuple[str, ...] = ()
 
 
-def health_of(rollout: Rollout, now: float, **facts: t.Any) -> Health:
-    """Return the facts that a rollout knows, with others added.
+def build_health(rollout: Rollout, now: float, **fields: t.Any) -> Health:
+    """Return the health from the state of a rollout and further fields.
 
     Parameters
     ----------
     now : float
         Monotonic time in seconds.
+    **fields
+        Fields of `Health` that the rollout does not know.
     """
     return Health(
         process=rollout.process,
@@ -85,20 +95,20 @@
             for name, (at, report) in rollout.reports.items()
         },
         unreadable=rollout.unreadable,
-        **facts,
+        **fields,
     )
 
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
-    """One thing that is not as it should be, in plain sentences.
+    """Fault for the operator, described in plain sentences.
 
     Attributes
     ----------
     what, doing, action : str
         What is wrong, what the system does about it, and what the operator can do.
     since : float
-        First time seen, seconds since the Unix epoch.
+        Time of its first detection, seconds since the Unix epoch.
     """
 
     name: str
@@ -108,7 +118,7 @@
     since: float = 0.0
 
 
-# Alarm name to what the system does and what the operator can do.
+# Name of each alarm to its `doing` and `action`.
 ALARMS: dict[str, tuple[str, str]] = {
     "not-ready": (
         "It asks the store and the listed peers every second, and takes no requests.",
@@ -180,10 +190,10 @@
     ),
 }
 
-_Found = Iterator[tuple[str, str]]
+_Findings = Iterator[tuple[str, str]]
 
 
-def _configuration_alarms(health: Health) -> _Found:
+def _configuration_alarms(health: Health) -> _Findings:
     if not health.ready:
         yield "not-ready", "This process holds no configuration yet."
         return
@@ -194,7 +204,9 @@
         yield "store-behind", f"{detail}ticket {health.number} is in force here."
     late = health.behind_s > LATE_S
     if health.behind and late:
-        what = f"Ticket {health.number} is not confirmed by {_some(health.behind)}."
+        what = (
+            f"Ticket {health.number} is not confirmed by {_join_names(health.behind)}."
+        )
         yield "ticket-late", what
     for name, (lowest, age) in sorted(health.centres.items()):
         if age > SILENT_S:
@@ -207,31 +219,34 @@
         yield "change-unreadable", what
 
 
-def _audit_alarms(health: Health) -> _Found:
+def _audit_alarms(health: Health) -> _Findings:
     if health.audit_lost:
         yield "audit-lost", f"{health.audit_lost} audit entries were lost."
     if health.audit_waiting and health.audit_failures:
-        yield "audit-waiting", f"{health.audit_waiting} audit entries wait to be kept."
+        yield (
+            "audit-waiting",
+            f"{health.audit_waiting} audit entries wait to be written.",
+        )
 
 
-def _fleet_alarms(health: Health) -> _Found:
+def _fleet_alarms(health: Health) -> _Findings:
     if health.suspected:
-        what = f"No heartbeat comes from {_some(health.suspected)}."
+        what = f"No heartbeat comes from {_join_names(health.suspected)}."
         yield "process-suspected", what
     if health.ownerless:
-        yield "shard-without-owner", f"No process owns {_some(health.ownerless)}."
+        yield "shard-without-owner", f"No process owns {_join_names(health.ownerless)}."
     if health.unreachable_vms:
-        what = f"{_some(health.unreachable_vms)} cannot be reached."
+        what = f"{_join_names(health.unreachable_vms)} cannot be reached."
         yield "vm-unreachable", what
     if health.ejected_vms:
-        what = f"Starts keep failing on {_some(health.ejected_vms)}."
+        what = f"Starts keep failing on {_join_names(health.ejected_vms)}."
         yield "vm-ejected", what
     if health.vms and 2 * len(health.leaving_vms) > health.vms:
         what = f"{len(health.leaving_vms)} of {health.vms} VMs are leaving."
         yield "few-vms-left", what
 
 
-def _work_alarms(health: Health) -> _Found:
+def _work_alarms(health: Health) -> _Findings:
     if health.shed:
         yield "work-refused", f"{health.shed} requests were refused in the last minute."
     short = [
@@ -240,30 +255,31 @@
         if running < wanted
     ]
     if short:
-        yield "service-short", f"Replicas are missing: {_some(tuple(short))}."
+        yield "service-short", f"Replicas are missing: {_join_names(tuple(short))}."
     for sentence in health.never_fits:
         yield "never-fits", sentence
 
 
-_RULES = (_configuration_alarms, _audit_alarms, _fleet_alarms, _work_alarms)
+_ALARM_RULES = (_configuration_alarms, _audit_alarms, _fleet_alarms, _work_alarms)
 
 
-def _some(names: tuple[str, ...]) -> str:
-    shown = ", ".join(names[:_SHOWN])
-    rest = len(names) - _SHOWN
+def _join_names(names: tuple[str, ...]) -> str:
+    """Return the first names and the count of the rest."""
+    shown = ", ".join(names[:_MAX_NAMES])
+    rest = len(names) - _MAX_NAMES
     return f"{shown} and {rest} more" if rest > 0 else shown
 
 
-class StatusBoard:
-    """Remembers since when each alarm has stood."""
+class AlarmTracker:
+    """Derives the alarms and tracks since when each one has been active."""
 
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
-        self._checked: Configuration | None = None
+        self._checked_config: Configuration | None = None
         self._never_fits: tuple[str, ...] = ()
 
     def alarms(self, wall: float, health: Health) -> list[Alarm]:
-        """Return the alarms that stand now, the oldest first.
+        """Return the active alarms, the oldest first.
 
         Parameters
         ----------
@@ -271,7 +287,7 @@
             Seconds since the Unix epoch.
         """
         found: dict[str, str] = {}
-        for rule in _RULES:
+        for rule in _ALARM_RULES:
             for name, what in rule(health):
                 found[name] = f"{found[name]} {what}" if name in found else what
         self._since = {name: self._since.get(name, wall) for name in found}
@@ -282,19 +298,19 @@
         return sorted(alarms, key=lambda alarm: alarm.since)
 
     def never_fits(self, config: Configuration) -> tuple[str, ...]:
-        """Return what can never be placed; computed once per configuration."""
-        if config is not self._checked:
-            self._checked, self._never_fits = config, tuple(unplaceable(config))
+        """Return what can never be placed, computed once per configuration."""
+        if config is not self._checked_config:
+            self._checked_config, self._never_fits = config, tuple(unplaceable(config))
         return self._never_fits
 
 
-def screen(wall: float, health: Health, alarms: t.Sequence[Alarm]) -> str:
-    """Return the status as text of one screen."""
+def render_status(wall: float, health: Health, alarms: t.Sequence[Alarm]) -> str:
+    """Return the status as text for a terminal."""
     lines = [_summary(health), ""]
     if not alarms:
         lines.append("Everything is as it should be.")
     for alarm in alarms:
-        lines.append(f"{alarm.name}, for {_duration(wall - alarm.since)}")
+        lines.append(f"{alarm.name}, for {_format_duration(wall - alarm.since)}")
         lines.append(f"  {alarm.what}")
         lines.append(f"  The system: {alarm.doing}")
         lines.append(f"  You: {alarm.action}")
@@ -302,10 +318,10 @@
 
 
 def _summary(health: Health) -> str:
-    where = f"{health.process} in {health.data_centre}"
+    process = f"{health.process} in {health.data_centre}"
     if not health.ready:
-        return f"{where}: no configuration is in force."
-    lines = [f"{where}: ticket {health.number} is in force."]
+        return f"{process}: no configuration is in force."
+    lines = [f"{process}: ticket {health.number} is in force."]
     for name, (lowest, _age) in sorted(health.centres.items()):
         lines.append(f"{name}: ticket {lowest} is in force on every process.")
     wanted = sum(counts[0] for counts in health.services.values())
@@ -313,12 +329,12 @@
     if wanted:
         lines.append(f"{running} of {wanted} service replicas run.")
     if health.queued:
-        wait = _duration(health.oldest_wait_s)
+        wait = _format_duration(health.oldest_wait_s)
         lines.append(f"{health.queued} tasks wait, the oldest for {wait}.")
     return "\n".join(lines)
 
 
-def _duration(seconds: float) -> str:
+def _format_duration(seconds: float) -> str:
     for size, unit in ((86_400, "days"), (3600, "hours"), (60, "minutes")):
         if seconds >= 2 * size:
             return f"{seconds / size:.0f} {unit}"
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -28,12 +28,12 @@
     def flush(self, **fields):
         return asyncio.run(self.writer.flush_if_due(**fields))
 
-    def found(self, **fields):
-        wanted = AuditFilter(**fields)
-        return asyncio.run(self.new_writer(AuditLog(), "p9").search(wanted))
+    def search(self, **fields):
+        criteria = AuditFilter(**fields)
+        return asyncio.run(self.new_writer(AuditLog(), "p9").search(criteria))
 
-    def test_groups_leave_by_age_or_by_count(self):
-        """Guards against one store write per event, or events kept for ever."""
+    def test_groups_are_flushed_by_age_or_by_count(self):
+        """Guards against one store write per event, or events that stay unflushed."""
         self.add(3)
         self.assertFalse(self.flush())
         self.clock.advance(10)
@@ -42,10 +42,10 @@
         self.assertFalse(self.flush())  # at most one write per second
         self.clock.advance(1)
         self.assertTrue(self.flush())
-        self.assertEqual(503, len(self.found()))
+        self.assertEqual(503, len(self.search()))
         self.assertEqual(2, self.store.calls["put_if"])
 
-    def test_outage_and_lost_reply_lose_and_double_nothing(self):
+    def test_outage_and_lost_reply_neither_lose_nor_duplicate_events(self):
         """Guards against a group that is dropped, or written twice, after a fault."""
         for fault in ("down", "lost", "dropped"):
             self.add(2, vm=fault)
@@ -55,28 +55,30 @@
             self.add(1, vm=fault)
             self.clock.advance(10)
             self.assertTrue(self.flush())
-            self.assertEqual(3, len(self.found(vm=fault)), fault)
-        self.assertEqual((9, 0, 0), (self.log.flushed, self.log.lost, self.log.waiting))
+            self.assertEqual(3, len(self.search(vm=fault)), fault)
+        self.assertEqual(
+            (9, 0, 0), (self.log.flushed, self.log.lost, self.log.unflushed)
+        )
 
     def test_losses_are_counted(self):
-        """Guards against a gap in the trail that nobody can see."""
+        """Guards against events that are dropped from a full buffer without a count."""
         self.add(3100)
-        self.assertEqual((3000, 100), (self.log.waiting, self.log.lost))
+        self.assertEqual((3000, 100), (self.log.unflushed, self.log.lost))
         self.assertTrue(self.flush(force=True))
         self.clock.advance(1)
         self.assertTrue(self.flush())
-        self.assertEqual((3000, 0), (self.log.flushed, self.log.waiting))
+        self.assertEqual((3000, 0), (self.log.flushed, self.log.unflushed))
         values = [entry.value for entry in self.store.entries.values()]
         self.assertEqual([100, 100], [value["lost"] for value in values])
         self.assertLess(max(len(json.dumps(value)) for value in values), 1_000_000)
 
     def test_search_filters(self):
-        """Guards against an answer that mixes in other VMs, jobs or tickets."""
+        """Guards against results that include other VMs, jobs or tickets."""
         self.add(1, vm="vm1", ticket=7)
         since = self.clock.advance(5) and self.clock.wall()
         self.add(1, vm="vm2", request_id="job1", cause="x" * 999)
         self.add(3)
-        for wanted, count in (
+        for criteria, count in (
             ({"ticket": 7}, 1),
             ({"vm": "vm2"}, 1),
             ({"job": "job1"}, 1),
@@ -84,12 +86,12 @@
             ({"limit": 2}, 2),
             ({"vm": "vm1", "ticket": 8}, 0),
         ):
-            self.assertEqual(count, len(self.log.search(AuditFilter(**wanted))))
-            own = asyncio.run(self.writer.search(AuditFilter(**wanted)))
-            self.assertEqual(count, len(own))
+            self.assertEqual(count, len(self.log.search(AuditFilter(**criteria))))
+            events = asyncio.run(self.writer.search(AuditFilter(**criteria)))
+            self.assertEqual(count, len(events))
 
     def test_groups_are_bound_to_a_retention_lease(self):
-        """Guards against a trail that fills the store."""
+        """Guards against audit groups that are never deleted and fill the store."""
         for _ in range(3):
             self.add(1)
             self.clock.advance(10)
--- a/tests/test_status.py
+++ b/tests/test_status.py
@@ -4,13 +4,13 @@
 
 from poplaryard import metrics
 from poplaryard.rollout import CentreReport, Members, PeerNumber, Rollout
-from poplaryard.status import ALARMS, Health, StatusBoard, health_of, screen
+from poplaryard.status import ALARMS, AlarmTracker, Health, build_health, render_status
 from poplaryard.tickets import apply
 
 from .builders import configuration
 from .fake_store import service, ticket
 
-_BAD = Health(
+_FAULTY = Health(
     number=7,
     store_number=5,
     behind=("p3",),
@@ -32,41 +32,45 @@
 )
 
 
-def names(health):
-    return {alarm.name for alarm in StatusBoard().alarms(0.0, health)}
+def alarm_names(health):
+    return {alarm.name for alarm in AlarmTracker().alarms(0.0, health)}
 
 
 class StatusTest(testtools.TestCase):
     def test_each_alarm_is_raised_and_documented(self):
-        """Guards against a fault or metric that the manual does not tell."""
+        """Guards against an alarm or metric that is missing from the manual."""
         raised = (
-            names(_BAD) | names(Health(ready=False)) | names(Health(store_ok=False))
+            alarm_names(_FAULTY)
+            | alarm_names(Health(ready=False))
+            | alarm_names(Health(store_ok=False))
         )
         self.assertEqual(set(ALARMS), raised)
         page = pathlib.Path(__file__).parent.parent / "docs" / "OPERATIONS.md"
         text = page.read_text()
-        for name in [*ALARMS, *metrics._READ]:
+        for name in [*ALARMS, *metrics._COLLECTED]:
             self.assertIn(f"`{name}`", text)
 
     def test_healthy_process_shows_no_alarm(self):
-        """Guards against alarms that train operators to look away."""
-        self.assertEqual(set(), names(Health(number=7, store_number=7, behind_s=99.0)))
+        """Guards against false alarms, which teach operators to ignore alarms."""
+        self.assertEqual(
+            set(), alarm_names(Health(number=7, store_number=7, behind_s=99.0))
+        )
         fresh = Health(number=7, store_number=7, behind=("p2",), behind_s=1.0)
-        self.assertEqual(set(), names(fresh))
-        self.assertIn("as it should be", screen(0.0, Health(), []))
+        self.assertEqual(set(), alarm_names(fresh))
+        self.assertIn("as it should be", render_status(0.0, Health(), []))
 
     def test_since_is_kept_until_the_alarm_ends(self):
-        """Guards against an alarm that looks new each time it is shown."""
-        board, down = StatusBoard(), Health(store_ok=False)
-        board.alarms(100.0, down)
-        self.assertEqual(100.0, board.alarms(700.0, down)[0].since)
-        board.alarms(800.0, Health())
-        self.assertEqual(900.0, board.alarms(900.0, down)[0].since)
+        """Guards against an alarm whose start time is reset by each evaluation."""
+        tracker, store_down = AlarmTracker(), Health(store_ok=False)
+        tracker.alarms(100.0, store_down)
+        self.assertEqual(100.0, tracker.alarms(700.0, store_down)[0].since)
+        tracker.alarms(800.0, Health())
+        self.assertEqual(900.0, tracker.alarms(900.0, store_down)[0].since)
 
-    def test_screen_says_what_why_and_what_to_do(self):
-        """Guards against a screen that needs an expert to read."""
-        alarms = StatusBoard().alarms(0.0, _BAD)
-        text = screen(600.0, _BAD, alarms)
+    def test_text_shows_fault_reaction_and_action(self):
+        """Guards against a status text that lacks what is wrong or what to do."""
+        alarms = AlarmTracker().alarms(0.0, _FAULTY)
+        text = render_status(600.0, _FAULTY, alarms)
         for part in (
             "ticket 7 is in force",
             "store-behind, for 10 minutes",
@@ -77,19 +81,19 @@
         ):
             self.assertIn(part, text)
 
-    def test_rollout_facts_are_shown(self):
+    def test_health_includes_the_rollout_state(self):
         """Guards against a process that is behind but reported as up to date."""
         rollout = Rollout("p0", "dc1")
         rollout.handle(0.0, Members(("p0", "p1"), {"dc2": ("q0",)}))
         rollout.handle(0.0, PeerNumber("p1", 0))
         rollout.handle(0.0, CentreReport("q0", "dc2", 4, 3, ("q1",)))
-        health = health_of(rollout, 9.0, vms=5)
+        health = build_health(rollout, 9.0, vms=5)
         self.assertEqual({"dc2": (3, 9.0)}, health.centres)
         self.assertEqual((False, 5), (health.ready, health.vms))
 
     def test_never_fits_follows_the_configuration(self):
-        """Guards against a sentence about an object that was repaired."""
-        board, config = StatusBoard(), configuration()
+        """Guards against a stale warning about an object that has been corrected."""
+        tracker, config = AlarmTracker(), configuration()
         big = apply(config, 2, ticket("uid-1", service("big", cpu="99 cores")))
-        self.assertEqual(1, len(board.never_fits(big)))
-        self.assertEqual((), board.never_fits(config))
+        self.assertEqual(1, len(tracker.never_fits(big)))
+        self.assertEqual((), tracker.never_fits(config))
