--- a/src/poplaryard/ticket_check.py
+++ b/src/poplaryard/ticket_check.py
@@ -1,4 +1,4 @@
-"""Check of a ticket before it is filed; changes nothing."""
+"""Check of a ticket before it is filed, without changing anything."""
 
 import difflib
 import typing as t
@@ -12,25 +12,27 @@
 
 __all__ = ["CheckResult", "check", "differences", "unplaceable"]
 
-# A figure that changes by this factor is more often a slip than an intention.
+# A quantity that changes by this factor is probably a typing error.
 _SUSPICIOUS_FACTOR = 10
-_NAME_LIKENESS = 0.8
-_SHOWN = 60
-_Need = ServiceSpec | BatchSpec
+_MIN_NAME_SIMILARITY = 0.8
+_MAX_VALUE_CHARS = 60
+_WorkSpec = ServiceSpec | BatchSpec
 
 
 @dataclass(frozen=True, slots=True)
 class CheckResult:
-    """What a ticket would do.
+    """Effects and problems of a ticket that is not filed yet.
 
     Attributes
     ----------
+    number : int
+        Number of the configuration that the ticket was checked against.
     changes : tuple of str
         One sentence per changed field of an object.
     errors : tuple of str
-        Reasons for which the ticket would be refused.
+        Reasons why the ticket would be refused.
     warnings : tuple of str
-        What would be accepted, but can never work or is probably a slip.
+        What would be accepted but can never work or is probably a mistake.
     """
 
     number: int
@@ -40,7 +42,7 @@
 
 
 def check(config: Configuration, ticket: Ticket) -> CheckResult:
-    """Return what a ticket would change in a configuration, and what is doubtful."""
+    """Return the effects of a ticket on a configuration, with errors and warnings."""
     after = tickets.apply(config, config.number + 1, ticket)
     return CheckResult(
         config.number,
@@ -60,13 +62,17 @@
         if field == "vms":
             found += _vm_differences(old or [], new or [])
         else:
-            found.append(f"{field} changes from {_text(old)} to {_text(new)}")
+            found.append(
+                f"{field} changes from {_format_value(old)} to {_format_value(new)}"
+            )
     return found
 
 
-def _text(value: t.Any) -> str:
+def _format_value(value: t.Any) -> str:
     text = "nothing" if value in (None, "", []) else str(value)
-    return text if len(text) <= _SHOWN else f"{text[: _SHOWN - 3]}..."
+    return (
+        text if len(text) <= _MAX_VALUE_CHARS else f"{text[: _MAX_VALUE_CHARS - 3]}..."
+    )
 
 
 def _vm_differences(old: list[t.Any], new: list[t.Any]) -> t.Iterator[str]:
@@ -120,15 +126,15 @@
     yield from _reference_warnings(before, after)
     yield from _size_warnings(before, ticket)
     yield from _leaving_warnings(after, ticket)
-    yield from _centre_warnings(before, after)
-    # Only what this ticket makes unplaceable, not what was so before.
+    yield from _data_centre_warnings(before, after)
+    # Only work that this ticket makes unplaceable is reported.
     known = set(unplaceable(before))
     yield from (sentence for sentence in unplaceable(after) if sentence not in known)
     yield from _batch_warnings(ticket)
 
 
 def _name_warnings(config: Configuration, ticket: Ticket) -> t.Iterator[str]:
-    """Warn of a new or removed name that looks like an existing one."""
+    """Warn of an unknown name to remove and of a new name similar to another."""
     names: dict[str, list[str]] = {}
     for key, _spec in tickets.iter_objects(config):
         kind, name = key.split("/", 1)
@@ -137,30 +143,33 @@
         kind, name = key.split("/", 1)
         if tickets.lookup(config, key) is not None:
             continue
-        like = _like(name, names.get(kind, []))
+        similar = _closest_name(name, names.get(kind, []))
         if value is None:
-            hint = f"; did you mean {like}?" if like else "."
+            hint = f"; did you mean {similar}?" if similar else "."
             yield f"There is no {kind} {name} to remove{hint}"
-        elif like and _is_slip(name, like):
-            yield f"{kind} {name} would be new; did you mean {like}, which exists?"
+        elif similar and _is_probable_typo(name, similar):
+            yield f"{kind} {name} would be new; did you mean {similar}, which exists?"
 
 
-def _like(name: str, names: t.Iterable[str]) -> str:
-    found = difflib.get_close_matches(name, list(names), 1, _NAME_LIKENESS)
+def _closest_name(name: str, names: t.Iterable[str]) -> str:
+    found = difflib.get_close_matches(name, list(names), 1, _MIN_NAME_SIMILARITY)
     return found[0] if found else ""
 
 
-def _is_slip(name: str, like: str) -> bool:
-    """Tell whether two names differ in more than a number, as pricing-1, pricing-2."""
-    return _letters(name) != _letters(like)
+def _is_probable_typo(name: str, similar: str) -> bool:
+    """Return whether two names differ in more than digits.
+
+    Names such as pricing-1 and pricing-2 are numbered on purpose.
+    """
+    return _without_digits(name) != _without_digits(similar)
 
 
-def _letters(name: str) -> str:
+def _without_digits(name: str) -> str:
     return "".join(char for char in name if not char.isdigit())
 
 
 def _references(config: Configuration) -> t.Iterator[tuple[str, str, str]]:
-    """Yield who refers to which name of which mapping."""
+    """Yield each reference: referring object, mapping of the target, target name."""
     for service in config.services.values():
         yield f"service {service.name}", "teams", service.team
         yield f"service {service.name}", "vm_groups", service.group
@@ -170,43 +179,46 @@
         yield f"work_kind {work_kind.name}", "services", work_kind.target
 
 
-_SINGULAR = {"teams": "team", "vm_groups": "vm_group", "services": "service"}
+_KIND_OF_MAPPING = {"teams": "team", "vm_groups": "vm_group", "services": "service"}
 
 
 def _reference_warnings(before: Configuration, after: Configuration) -> t.Iterator[str]:
-    known = set(_dangling(before))
-    for who, field, name in _dangling(after):
-        if (who, field, name) in known:
+    known = set(_dangling_references(before))
+    for referrer, mapping, name in _dangling_references(after):
+        if (referrer, mapping, name) in known:
             continue
-        like = _like(name, getattr(after, field))
-        hint = f"; did you mean {like}?" if like else "."
-        yield f"{who} names the {_SINGULAR[field]} {name}, which does not exist{hint}"
+        similar = _closest_name(name, getattr(after, mapping))
+        hint = f"; did you mean {similar}?" if similar else "."
+        yield (
+            f"{referrer} names the {_KIND_OF_MAPPING[mapping]} {name}, which does "
+            f"not exist{hint}"
+        )
 
 
-def _dangling(config: Configuration) -> t.Iterator[tuple[str, str, str]]:
-    for who, field, name in _references(config):
-        if name and name not in getattr(config, field):
-            yield who, field, name
+def _dangling_references(config: Configuration) -> t.Iterator[tuple[str, str, str]]:
+    for referrer, mapping, name in _references(config):
+        if name and name not in getattr(config, mapping):
+            yield referrer, mapping, name
 
 
 def _size_warnings(config: Configuration, ticket: Ticket) -> t.Iterator[str]:
-    """Warn of a figure that grows or shrinks by a factor of ten or more."""
-    specs = tickets.apply(config, config.number + 1, ticket)
+    """Warn of a quantity that grows or shrinks by `_SUSPICIOUS_FACTOR` or more."""
+    result = tickets.apply(config, config.number + 1, ticket)
     for key in ticket.object_keys():
-        old, new = tickets.lookup(config, key), tickets.lookup(specs, key)
+        old, new = tickets.lookup(config, key), tickets.lookup(result, key)
         if old is None or new is None:
             continue
-        before, after = _figures(old), _figures(new)
+        before, after = _quantities(old), _quantities(new)
         for name in before.keys() & after.keys():
             low, high = sorted((before[name], after[name]))
             if low > 0 and high >= low * _SUSPICIOUS_FACTOR:
                 yield (
-                    f"{key}: {name} changes from {before[name]} to {after[name]}; is "
-                    "the figure or its unit a slip?"
+                    f"{key}: {name} changes from {before[name]} to {after[name]}; "
+                    "are the value and its unit correct?"
                 )
 
 
-def _figures(spec: t.Any) -> dict[str, float]:
+def _quantities(spec: t.Any) -> dict[str, float]:
     found: dict[str, float] = {}
     for name in ("replicas", "tasks", "slots", "weight", "shards_per_data_centre"):
         if hasattr(spec, name):
@@ -218,13 +230,16 @@
     return found
 
 
-def _centre_warnings(before: Configuration, after: Configuration) -> t.Iterator[str]:
-    """Warn of a change of the data centres that keys are spread over."""
+def _data_centre_warnings(
+    before: Configuration, after: Configuration
+) -> t.Iterator[str]:
+    """Warn of a change of the data centres over which keys are distributed."""
     old, new = set(before.data_centres()), set(after.data_centres())
     if old and old != new:
         yield (
             f"The data centres change from {', '.join(sorted(old))} to "
-            f"{', '.join(sorted(new)) or 'none'}, so that some keys get another home. "
+            f"{', '.join(sorted(new)) or 'none'}, so that some keys move to "
+            "another data centre. "
             "Stop exclusive and non-idempotent work until the ticket is in force "
             "everywhere."
         )
@@ -235,7 +250,7 @@
         if key.startswith("batch/"):
             yield (
                 f"{key} is kept, but this version does not run batches from tickets; "
-                "hand the job in with POST /v1/jobs."
+                "submit the job with POST /v1/jobs."
             )
 
 
@@ -250,65 +265,93 @@
 
 
 def unplaceable(config: Configuration) -> list[str]:
-    """Return one sentence for each service or batch job that can never fit whole."""
+    """Return one sentence for each service or batch job that can never be placed.
+
+    Each is checked alone against the capacity of the VMs and the limit of its team.
+    """
     found = []
-    rooms: dict[str, dict[Resources, int]] = {}
-    specs: list[_Need] = [*config.services.values(), *config.batches.values()]
+    capacities_by_group: dict[str, dict[Resources, int]] = {}
+    specs: list[_WorkSpec] = [*config.services.values(), *config.batches.values()]
     for spec in specs:
         group = getattr(spec, "group", "")
-        if group not in rooms:
-            rooms[group] = _shapes(config, group)
-        sentence = _fit(config, spec, rooms[group])
+        if group not in capacities_by_group:
+            capacities_by_group[group] = _usable_capacities(config, group)
+        sentence = _explain_unplaceable(config, spec, capacities_by_group[group])
         if sentence:
             found.append(sentence)
     return found
 
 
-def _shapes(config: Configuration, group: str) -> dict[Resources, int]:
-    """Return the room of the VMs that take new work, with the count of each shape."""
-    shapes: dict[Resources, int] = {}
+def _usable_capacities(config: Configuration, group: str) -> dict[Resources, int]:
+    """Return the capacities of the VMs that take new work, with the count of each.
+
+    Reserved resources are subtracted. The group "" stands for every group.
+    """
+    capacities: dict[Resources, int] = {}
     for spec in config.vm_groups.values():
         if group not in ("", spec.name):
             continue
         for vm in spec.vms:
             if vm.name not in spec.leaving:
-                room = vm.capacity - spec.reserved
-                shapes[room] = shapes.get(room, 0) + 1
-    return shapes
+                capacity = vm.capacity - spec.reserved
+                capacities[capacity] = capacities.get(capacity, 0) + 1
+    return capacities
 
 
-def _fit(config: Configuration, spec: _Need, shapes: t.Mapping[Resources, int]) -> str:
+def _explain_unplaceable(
+    config: Configuration, spec: _WorkSpec, capacities: t.Mapping[Resources, int]
+) -> str:
     service = isinstance(spec, ServiceSpec)
     label = f"{'service' if service else 'batch'} {spec.name}"
     team = config.teams.get(spec.team)
-    if not any(spec.need.fits_in(room) for room in shapes):
-        largest = max(shapes, key=lambda room: room.cpu_m, default=None)
-        has = "there is no VM" if largest is None else f"the largest has {_of(largest)}"
-        return f"No VM can ever hold {label}, which needs {_of(spec.need)}: {has}."
+    if not any(spec.need.fits_in(capacity) for capacity in capacities):
+        largest = max(capacities, key=lambda capacity: capacity.cpu_m, default=None)
+        capacity_text = (
+            "there is no VM"
+            if largest is None
+            else f"the largest has {_format_resources(largest)}"
+        )
+        return (
+            f"No VM can ever hold {label}, which needs "
+            f"{_format_resources(spec.need)}: {capacity_text}."
+        )
     if team and team.limit is not None and not spec.need.fits_in(team.limit):
-        return f"{label} needs {_of(spec.need)}, more than the limit of {team.name}."
+        return (
+            f"{label} needs {_format_resources(spec.need)}, more than the limit of "
+            f"{team.name}."
+        )
     wanted = spec.replicas if isinstance(spec, ServiceSpec) else spec.tasks
-    # A batch job that is no gang runs its tasks one after the other.
+    # The tasks of a batch job that is not a gang can run one after the other, so a VM
+    # that holds one task is enough.
     if not service and not getattr(spec, "gang", False):
         return ""
-    room = sum(_times(spec.need, shape) * count for shape, count in shapes.items())
-    if room < wanted:
+    fitting = sum(
+        _count_fitting(spec.need, capacity) * count
+        for capacity, count in capacities.items()
+    )
+    if fitting < wanted:
         what = "replicas" if service else "tasks of the gang"
-        return f"Only {room} of {wanted} {what} of {label} can ever run at once."
+        return f"Only {fitting} of {wanted} {what} of {label} can ever run at once."
     return ""
 
 
-def _times(need: Resources, room: Resources) -> int:
-    """Return how often a need fits in one VM."""
+def _count_fitting(need: Resources, capacity: Resources) -> int:
+    """Return how many times a need fits into the capacity of one VM."""
     pairs = (
-        (need.cpu_m, room.cpu_m),
-        (need.mem_mb, room.mem_mb),
-        (need.gpus, room.gpus),
+        (need.cpu_m, capacity.cpu_m),
+        (need.mem_mb, capacity.mem_mb),
+        (need.gpus, capacity.gpus),
+    )
+    return max(
+        0,
+        min(
+            (available // needed for needed, available in pairs if needed),
+            default=1_000_000,
+        ),
     )
-    return max(0, min((has // one for one, has in pairs if one), default=1_000_000))
 
 
-def _of(amount: Resources) -> str:
+def _format_resources(amount: Resources) -> str:
     gpus = f" and {amount.gpus} GPUs" if amount.gpus else ""
     cores = "core" if amount.cpu_m == 1000 else "cores"
     return f"{amount.cpu_m / 1000:g} {cores} and {amount.mem_mb / 1024:g} GB{gpus}"
--- a/tests/test_ticket_check.py
+++ b/tests/test_ticket_check.py
@@ -20,7 +20,7 @@
     def check(self, *objects, **fields):
         return check(self.config, ticket("uid-1", *objects, **fields))
 
-    def test_changes_are_told_and_not_made(self):
+    def test_changes_are_listed_and_not_made(self):
         """Guards against a check that hides or makes a change."""
         result = self.check(service(replicas=4), service("new"), vm_group(vms=3))
         self.assertEqual(
@@ -34,7 +34,7 @@
         self.assertEqual(((), ()), (result.errors, result.warnings))
         self.assertEqual(2, self.config.services["booking"].replicas)
 
-    def test_work_that_never_fits_is_told(self):
+    def test_unplaceable_work_is_reported(self):
         """Guards against a service that waits forever without a reason."""
         cases = [
             (service(cpu="17 cores"), "No VM can ever hold service booking"),
@@ -51,14 +51,14 @@
         (only,) = self.check({**gang, "gang": False}).warnings
         self.assertIn("does not run batches from tickets", only)
 
-    def test_old_problems_are_not_told_again(self):
+    def test_existing_problems_are_not_reported(self):
         """Guards against warnings about objects that the ticket does not touch."""
         broken = ticket("uid-1", service("big", cpu="99 cores"))
         self.config = tickets.apply(self.config, 2, broken)
         self.assertEqual((), self.check(service(replicas=3)).warnings)
 
-    def test_slips_are_pointed_out(self):
-        """Guards against a typing error that makes a second object or a wrong size."""
+    def test_probable_typing_errors_are_reported(self):
+        """Guards against a typing error that creates an object or sets a wrong size."""
         cases = [
             (service("bookign"), "did you mean booking, which exists?"),
             (service(replicas=20), "replicas changes from 2 to 20"),
@@ -73,7 +73,10 @@
                 {"kind": "service", "name": "booking", "remove": True},
                 "work_kind charge names the service booking",
             ),
-            (vm_group("far", 1, data_centre="dc2"), "some keys get another home"),
+            (
+                vm_group("far", 1, data_centre="dc2"),
+                "some keys move to another data centre",
+            ),
             (vm_group(vms=1, leaving=["dc1-vm00000"]), "1 of 1 VMs would be leaving"),
         ]
         for item, expected in cases:
@@ -82,7 +85,7 @@
         self.assertEqual((), numbered.warnings)
 
     def test_misspelt_fields_and_kinds_are_explained(self):
-        """Guards against a refusal that leaves the operator searching."""
+        """Guards against a refusal that does not name the misspelt field or kind."""
         for item, expected in (
             (service(replcas=3), 'did you mean "replicas"?'),
             ({"kind": "servise", "name": "x"}, 'did you mean "service"?'),
@@ -90,8 +93,8 @@
             exc = self.assertRaises(CallError, ticket, "uid-1", item)
             self.assertIn(expected, exc.detail)
 
-    def test_refusals_are_foretold(self):
-        """Guards against a check that passes and a filing that does not."""
+    def test_check_reports_what_filing_would_refuse(self):
+        """Guards against a ticket that passes the check and is refused when filed."""
         errors = self.check(vm_group("second", 1)).errors
         self.assertIn('"booking" and in "second"', errors[0])
         self.assertIn("last number is 1", self.check(based_on=7).errors[0])
--- a/tests/test_ticket_cli.py
+++ b/tests/test_ticket_cli.py
@@ -13,20 +13,20 @@
 from poplaryard.server import HttpServer
 
 from .fake_store import service
-from .test_operators import _KEY, Desk, body
+from .test_operators import OPERATOR_KEY, OperatorHost, body
 
 
-async def explained(request):
+async def explain(request):
     found = {"id": request.path_params["id"], "explanation": "It waits for a VM."}
     return JSONResponse(found)
 
 
-class Server:
-    """Operator routes on a free port, served by a thread of their own."""
+class ServerThread:
+    """Operator routes on a free port, served by a separate thread."""
 
     def __init__(self):
-        self.desk = Desk()
-        self.desk.app.routes.append(Route("/v1/explain/{id}", explained))
+        self.host = OperatorHost()
+        self.host.app.routes.append(Route("/v1/explain/{id}", explain))
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever)
         self.thread.start()
@@ -38,10 +38,10 @@
         return f"127.0.0.1:{self.http.ports[0]}"
 
     async def _serve(self, scope, receive, send):
-        await self.desk.app(scope, receive, send)
-        if self.desk.loads:
-            self.desk.loads.clear()
-            await self.desk.load()
+        await self.host.app(scope, receive, send)
+        if self.host.loads:
+            self.host.loads.clear()
+            await self.host.load()
 
     def run(self, call):
         return asyncio.run_coroutine_threadsafe(call, self.loop).result(20)
@@ -56,12 +56,12 @@
 class TicketCliTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.server = Server()
+        self.server = ServerThread()
         self.addCleanup(self.server.stop)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = pathlib.Path(folder.name)
-        (self.folder / "key").write_text(f"{_KEY}\n")
+        (self.folder / "key").write_text(f"{OPERATOR_KEY}\n")
 
     def run_cli(self, *args, code=0, address=None, **fields):
         key_file = str(self.folder / "key")
@@ -70,13 +70,13 @@
         self.assertEqual(code, result.exit_code, result.output)
         return result.output
 
-    def path(self, *args, **fields):
+    def write_ticket(self, *args, **fields):
         path = self.folder / "change.jsonc"
         path.write_text(json.dumps(body(*args, **fields)))
         return str(path)
 
-    def test_ticket_from_new_to_in_force(self):
-        """Guards against a step of the manual that does not work."""
+    def test_ticket_is_created_filed_and_put_in_force(self):
+        """Guards against a command of the operators' procedure that fails."""
         text = self.run_cli("ticket", "new", "service", "booking", "--author", "Anna")
         self.assertIn("example values of service booking", text)
         path = self.folder / "change.jsonc"
@@ -100,14 +100,14 @@
         self.assertIn("not yet in force at p0", waited)
 
     def test_reading_commands_print_json(self):
-        """Guards against output that scripts cannot read."""
-        self.run_cli("ticket", "file", self.path())
+        """Guards against output that scripts cannot parse."""
+        self.run_cli("ticket", "file", self.write_ticket())
         for args in (
             ("ticket", "list"),
             ("ticket", "show", "1"),
             ("ticket", "wait", "1"),
             ("ticket", "diff", "1"),
-            ("ticket", "check", self.path("uid-2")),
+            ("ticket", "check", self.write_ticket("uid-2")),
             ("status",),
             ("audit", "--since", "2000-01-01"),
         ):
@@ -115,12 +115,12 @@
         self.assertIn("ticket accepted", self.run_cli("audit", "--since", "2000-01-01"))
         self.assertIn("ticket 1 is in force", self.run_cli("status"))
 
-    def test_refusals_end_with_a_sentence(self):
-        """Guards against a traceback at the weekend."""
-        wrong = self.path("uid-1", service(replcas=2))
+    def test_failures_print_a_message_and_set_the_exit_code(self):
+        """Guards against a traceback or a wrong exit code instead of a message."""
+        wrong = self.write_ticket("uid-1", service(replcas=2))
         self.assertIn("did you mean", self.run_cli("ticket", "file", wrong, code=1))
-        self.run_cli("ticket", "file", self.path("uid-1"))
-        stale = self.path("uid-2", service(replicas=9), based_on=0)
+        self.run_cli("ticket", "file", self.write_ticket("uid-1"))
+        stale = self.write_ticket("uid-2", service(replicas=9), based_on=0)
         conflict = self.run_cli("ticket", "file", stale, code=1)
         self.assertIn("Ticket 1 of Anna", conflict)
         self.assertIn("a new uid", conflict)
