--- a/src/poplaryard/jsonc.py
+++ b/src/poplaryard/jsonc.py
@@ -1,4 +1,7 @@
-"""JSON with comments, read strictly: finite numbers, unique keys, bounded nesting."""
+"""Strict parser of JSON with comments.
+
+Numbers must be finite, keys unique, and the nesting is limited.
+"""
 
 import json
 import math
@@ -13,9 +16,10 @@
 __all__ = ["MAX_DEPTH", "loads"]
 
 MAX_DEPTH = 16
-# json5 is a parser in pure Python; larger texts must be plain JSON.
-_MAX_COMMENTED = 256 * 1024
-_TOKEN = re.compile(
+# json5 is a slow parser in pure Python, so larger texts must be plain JSON.
+_MAX_JSON5_CHARS = 256 * 1024
+# Strings and comments are matched so that brackets in them are not counted.
+_DEPTH_TOKEN = re.compile(
     r'"(?:\\.|[^"\\])*"|\'(?:\\.|[^\'\\])*\'|//[^\n]*|/\*.*?\*/|[\[\]{}]', re.DOTALL
 )
 
@@ -26,7 +30,7 @@
     Raises
     ------
     CallError
-        `MALFORMED`, `TOO_DEEP`, `NON_FINITE` or `TOO_LARGE`, with one plain sentence.
+        With code `MALFORMED`, `TOO_DEEP`, `NON_FINITE` or `TOO_LARGE`.
     """
     source = _decode(text)
     _check_depth(source, max_depth)
@@ -34,12 +38,12 @@
         # Plain JSON is tried first because json5 is about a thousand times slower.
         return json.loads(
             source,
-            object_pairs_hook=_unique,
-            parse_float=_finite,
+            object_pairs_hook=_unique_keys,
+            parse_float=_parse_finite,
             parse_constant=_refuse_constant,
         )
     except ValueError:
-        return _loads_commented(source)
+        return _loads_json5(source)
 
 
 def _decode(text: str | bytes) -> str:
@@ -51,18 +55,18 @@
         raise CallError(Code.MALFORMED, "The text is not valid UTF-8.") from exc
 
 
-def _loads_commented(source: str) -> t.Any:
-    if len(source) > _MAX_COMMENTED:
+def _loads_json5(source: str) -> t.Any:
+    if len(source) > _MAX_JSON5_CHARS:
         detail = (
-            f"A text of more than {_MAX_COMMENTED // 1024} KB must be plain JSON "
-            "without comments and without mistakes."
+            f"A text of more than {_MAX_JSON5_CHARS // 1024} KB must be plain JSON "
+            "without comments or errors."
         )
         raise CallError(Code.TOO_LARGE, detail)
     try:
         return json5.loads(
             source,
-            object_pairs_hook=_unique,
-            parse_float=_finite,
+            object_pairs_hook=_unique_keys,
+            parse_float=_parse_finite,
             parse_constant=_refuse_constant,
         )
     except (ValueError, RecursionError) as exc:
@@ -71,7 +75,7 @@
 
 def _check_depth(source: str, max_depth: int) -> None:
     depth = 0
-    for match in _TOKEN.finditer(source):
+    for match in _DEPTH_TOKEN.finditer(source):
         token = match.group()
         if token in "[{":
             depth += 1
@@ -82,7 +86,7 @@
             raise CallError(Code.TOO_DEEP, detail)
 
 
-def _unique(pairs: t.Iterable[tuple[str, t.Any]]) -> dict[str, t.Any]:
+def _unique_keys(pairs: t.Iterable[tuple[str, t.Any]]) -> dict[str, t.Any]:
     found: dict[str, t.Any] = {}
     for key, value in pairs:
         if key in found:
@@ -91,7 +95,7 @@
     return found
 
 
-def _finite(text: str) -> float:
+def _parse_finite(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
         raise CallError(Code.NON_FINITE, f"The number {text[:40]} is not finite.")
--- a/src/poplaryard/ticket_cli.py
+++ b/src/poplaryard/ticket_cli.py
@@ -21,21 +21,30 @@
 
 __all__ = ["audit", "explain", "status", "ticket"]
 
-# A ticket of 1,000 objects is written over 10 s.
+# Longer than the 10 s over which a ticket of 1,000 objects is written.
 CALL_TIMEOUT_S = 30.0
 WAIT_S = 30.0
-# A filing whose outcome is unknown is repeated with the same uid, which is safe.
+# A filing whose outcome is unknown is repeated. This is safe, as the uid of the ticket
+# stays the same.
 FILE_TRIES = 4
 FILE_PAUSE_S = 1.0
 EXIT_REFUSED = 1
 EXIT_UNKNOWN = 3
 
 _F = t.TypeVar("_F", bound=t.Callable[..., t.Any])
-_UNKNOWN = (Code.TICKET_UNKNOWN, Code.PEER_TIMEOUT, Code.INTERNAL)
+_UNKNOWN_CODES = (Code.TICKET_UNKNOWN, Code.PEER_TIMEOUT, Code.INTERNAL)
 
 
-class Server:
-    """Calls one entry process over HTTP."""
+class ServerClient:
+    """HTTP client of one server.
+
+    Parameters
+    ----------
+    address : str
+        Host and port, with or without ``http://``.
+    key : str
+        Key sent with each request.
+    """
 
     def __init__(self, address: str, key: str):
         self._url = f"http://{address.removeprefix('http://').rstrip('/')}"
@@ -44,10 +53,16 @@
     def call(
         self, method: str, path: str, data: bytes | None = None, **query: t.Any
     ) -> Reply:
-        """Return the reply; raises `PoplaryardError` if there is none."""
-        given = {key: value for key, value in query.items() if value}
+        """Return the reply to a request; empty query fields are left out.
+
+        Raises
+        ------
+        PoplaryardError
+            If there is no reply.
+        """
+        params = {key: value for key, value in query.items() if value}
         url = f"{self._url}{path}"
-        url += f"?{urllib.parse.urlencode(given)}" if given else ""
+        url += f"?{urllib.parse.urlencode(params)}" if params else ""
         timeout_s = CALL_TIMEOUT_S + float(query.get("timeout_s") or 0)
         return asyncio.run(self._call(method, url, data, timeout_s))
 
@@ -60,23 +75,25 @@
         finally:
             await client.close()
 
-    def get(self, path: str, **query: t.Any) -> t.Any:
-        """Return the body of a successful answer; ends the command otherwise."""
-        return self.body("GET", path, None, **query)
+    def get_or_exit(self, path: str, **query: t.Any) -> t.Any:
+        """Return the body of a successful reply to a GET; see `request_or_exit`."""
+        return self.request_or_exit("GET", path, None, **query)
 
-    def body(self, method: str, path: str, data: bytes | None, **query: t.Any) -> t.Any:
-        """Return the body of a successful answer; ends the command otherwise."""
+    def request_or_exit(
+        self, method: str, path: str, data: bytes | None, **query: t.Any
+    ) -> t.Any:
+        """Return the body of a successful reply; exit with a message otherwise."""
         try:
             reply = self.call(method, path, data, **query)
         except PoplaryardError as exc:
-            fail(f"The server does not answer: {exc.detail}", EXIT_UNKNOWN)
+            exit_with(f"The server does not answer: {exc.detail}", EXIT_UNKNOWN)
         if reply.status != 200:
-            fail(_message(reply), EXIT_REFUSED)
+            exit_with(_message(reply), EXIT_REFUSED)
         return reply.body
 
 
-def fail(message: str, code: int) -> t.NoReturn:
-    """End the command with a message and an exit code."""
+def exit_with(message: str, code: int) -> t.NoReturn:
+    """Print a message to standard error and exit with a code."""
     click.echo(message, err=True)
     sys.exit(code)
 
@@ -95,11 +112,14 @@
     try:
         return pathlib.Path(path).read_text().strip()
     except (OSError, UnicodeDecodeError) as exc:
-        fail(f"The key file {path} cannot be read: {exc}.", EXIT_REFUSED)
+        exit_with(f"The key file {path} cannot be read: {exc}.", EXIT_REFUSED)
 
 
 def with_server(command: _F) -> _F:
-    """Add the options that name the server and the key to a command."""
+    """Add the options for the server and the key to a command.
+
+    The command receives a `ServerClient` as its first argument.
+    """
 
     @click.option(
         "--server",
@@ -117,7 +137,7 @@
     )
     @functools.wraps(command)
     def wrapped(server: str, key_file: str, **fields: t.Any) -> t.Any:
-        return command(Server(server, _read_key(key_file)), **fields)
+        return command(ServerClient(server, _read_key(key_file)), **fields)
 
     return t.cast(_F, wrapped)
 
@@ -125,7 +145,7 @@
 _as_json = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
-def _show(value: t.Any, as_json: bool, lines: t.Iterable[str]) -> None:
+def _print_result(value: t.Any, as_json: bool, lines: t.Iterable[str]) -> None:
     if as_json:
         click.echo(json.dumps(value, indent=2))
     else:
@@ -133,7 +153,7 @@
             click.echo(line)
 
 
-def _moment(wall: float) -> str:
+def _format_time(wall: float) -> str:
     moment = datetime.datetime.fromtimestamp(wall, datetime.UTC)
     return moment.strftime("%Y-%m-%d %H:%M:%S UTC")
 
@@ -148,28 +168,28 @@
 @click.argument("name", default="policy")
 @click.option("--author", envvar="USER", default="unknown", help="Your name.")
 @with_server
-def new(server: Server, kind: str, name: str, author: str) -> None:
-    """Print a ticket to fill in, with the object's present state if there is one."""
+def new(server: ServerClient, kind: str, name: str, author: str) -> None:
+    """Print a ticket to fill in, with the object as it is in force, if it exists."""
     path = f"/v1/objects/{kind}/{urllib.parse.quote(name, safe='')}"
     try:
         reply = server.call("GET", path)
     except PoplaryardError as exc:
-        fail(f"The server does not answer: {exc.detail}", EXIT_UNKNOWN)
+        exit_with(f"The server does not answer: {exc.detail}", EXIT_UNKNOWN)
     if reply.status not in (200, Code.NOT_FOUND.status):
-        fail(_message(reply), EXIT_REFUSED)
-    held = reply.body if reply.status == 200 else {}
-    found = held.get("object"), held.get("number")
-    click.echo(new_ticket(kind, name, author, *found, time.time()), nl=False)
+        exit_with(_message(reply), EXIT_REFUSED)
+    body = reply.body if reply.status == 200 else {}
+    current = body.get("object"), body.get("number")
+    click.echo(new_ticket(kind, name, author, *current, time.time()), nl=False)
 
 
 @ticket.command()
 @click.argument("file", type=click.File("rb"))
 @_as_json
 @with_server
-def check(server: Server, file: t.BinaryIO, as_json: bool) -> None:
-    """Tell what a ticket would do; changes nothing."""
-    found = server.body("POST", "/v1/tickets/check", _read(file))
-    _show(found, as_json, _check_lines(found))
+def check(server: ServerClient, file: t.BinaryIO, as_json: bool) -> None:
+    """Print what a ticket would change, without filing it."""
+    found = server.request_or_exit("POST", "/v1/tickets/check", _read_ticket(file))
+    _print_result(found, as_json, _check_lines(found))
     if found["errors"]:
         sys.exit(EXIT_REFUSED)
 
@@ -183,13 +203,13 @@
         yield "The ticket can be filed."
 
 
-def _read(file: t.BinaryIO) -> bytes:
-    """Return the text of a ticket; faults are told without asking a server."""
+def _read_ticket(file: t.BinaryIO) -> bytes:
+    """Return the text of a ticket; exit with a message if it is invalid."""
     data = file.read()
     try:
         tickets.parse(data)
     except CallError as exc:
-        fail(exc.detail, EXIT_REFUSED)
+        exit_with(exc.detail, EXIT_REFUSED)
     return data
 
 
@@ -198,31 +218,34 @@
 @click.option("--wait", "waits", is_flag=True, help="Wait until it is in force.")
 @_as_json
 @with_server
-def file(server: Server, file: t.BinaryIO, waits: bool, as_json: bool) -> None:
+def file(server: ServerClient, file: t.BinaryIO, waits: bool, as_json: bool) -> None:
     """File a ticket."""
-    reply = _file(server, _read(file))
+    reply = _file_until_known(server, _read_ticket(file))
     if reply.status != 200:
-        _show(reply.body, as_json, ())
-        unknown = _code(reply) in _UNKNOWN
-        fail(_message(reply), EXIT_UNKNOWN if unknown else EXIT_REFUSED)
-    _show(reply.body, as_json, [_message(reply)])
+        _print_result(reply.body, as_json, ())
+        unknown = _code(reply) in _UNKNOWN_CODES
+        exit_with(_message(reply), EXIT_UNKNOWN if unknown else EXIT_REFUSED)
+    _print_result(reply.body, as_json, [_message(reply)])
     if waits:
-        _wait(server, reply.body["number"], WAIT_S, as_json)
+        _wait_in_force(server, reply.body["number"], WAIT_S, as_json)
+
 
+def _file_until_known(server: ServerClient, data: bytes) -> Reply:
+    """File a ticket until the outcome is known or `FILE_TRIES` is reached.
 
-def _file(server: Server, data: bytes) -> Reply:
-    """File until the outcome is known; the uid makes each repeat the same ticket."""
+    A repeat is safe, since the server recognizes the ticket by its uid.
+    """
     for left in reversed(range(FILE_TRIES)):
         try:
             reply = server.call("POST", "/v1/tickets", data)
-            if left == 0 or _code(reply) not in _UNKNOWN:
+            if left == 0 or _code(reply) not in _UNKNOWN_CODES:
                 return reply
         except PoplaryardError as exc:
             if exc.code is Code.PEER_UNREACHABLE:
-                fail(f"Not filed. {exc.detail}", EXIT_REFUSED)
+                exit_with(f"Not filed. {exc.detail}", EXIT_REFUSED)
             if left == 0:
                 detail = "File the same ticket again to learn whether it was accepted."
-                fail(f"The server does not answer. {detail}", EXIT_UNKNOWN)
+                exit_with(f"The server does not answer. {detail}", EXIT_UNKNOWN)
         time.sleep(FILE_PAUSE_S)
     raise AssertionError("unreachable")
 
@@ -232,18 +255,22 @@
 @click.option("--timeout", default=WAIT_S, help="Seconds to wait.")
 @_as_json
 @with_server
-def wait(server: Server, number: int, timeout: float, as_json: bool) -> None:
+def wait(server: ServerClient, number: int, timeout: float, as_json: bool) -> None:
     """Wait until a ticket is in force in every process."""
-    _wait(server, number, timeout, as_json)
+    _wait_in_force(server, number, timeout, as_json)
 
 
-def _wait(server: Server, number: int, timeout_s: float, as_json: bool) -> None:
-    found = server.get(f"/v1/tickets/{number}/wait", timeout_s=timeout_s)
+def _wait_in_force(
+    server: ServerClient, number: int, timeout_s: float, as_json: bool
+) -> None:
+    found = server.get_or_exit(f"/v1/tickets/{number}/wait", timeout_s=timeout_s)
     if found["in_force"]:
-        _show(found, as_json, [f"Ticket {number} is in force everywhere."])
+        _print_result(found, as_json, [f"Ticket {number} is in force everywhere."])
         return
     missing = ", ".join(found["missing"])
-    _show(found, as_json, [f"Ticket {number} is not yet in force at {missing}."])
+    _print_result(
+        found, as_json, [f"Ticket {number} is not yet in force at {missing}."]
+    )
     sys.exit(EXIT_REFUSED)
 
 
@@ -251,36 +278,36 @@
 @click.argument("number", type=int)
 @_as_json
 @with_server
-def show(server: Server, number: int, as_json: bool) -> None:
+def show(server: ServerClient, number: int, as_json: bool) -> None:
     """Print one accepted ticket."""
-    found = server.get(f"/v1/tickets/{number}")
+    found = server.get_or_exit(f"/v1/tickets/{number}")
     text = json.dumps(found["ticket"], indent=2) if found["ticket"] else ""
-    force = ", ".join(found["missing"])
+    missing = ", ".join(found["missing"])
     lines = [
-        f"Ticket {number} of {found['author']}, accepted {_moment(found['at'])}.",
-        f"It is not yet in force at {force}."
-        if force
+        f"Ticket {number} of {found['author']}, accepted {_format_time(found['at'])}.",
+        f"It is not yet in force at {missing}."
+        if missing
         else "It is in force everywhere.",
         text or "Its text is older than 30 days and no longer kept.",
     ]
-    _show(found, as_json, lines)
+    _print_result(found, as_json, lines)
 
 
 @ticket.command(name="list")
 @click.option("--limit", default=20, help="Number of tickets, at most 256.")
 @_as_json
 @with_server
-def list_(server: Server, limit: int, as_json: bool) -> None:
+def list_(server: ServerClient, limit: int, as_json: bool) -> None:
     """Print the last tickets."""
-    found = server.get("/v1/tickets", limit=limit)
-    _show(found, as_json, map(_ticket_line, found["tickets"]))
+    found = server.get_or_exit("/v1/tickets", limit=limit)
+    _print_result(found, as_json, map(_ticket_line, found["tickets"]))
 
 
 def _ticket_line(item: t.Mapping[str, t.Any]) -> str:
     rest = item["count"] - len(item["keys"])
     keys = ", ".join(item["keys"]) + (f" and {rest} more" if rest else "")
     note = f"  ({item['note']})" if item["note"] else ""
-    at = _moment(item["at"])
+    at = _format_time(item["at"])
     return f"{item['number']:>6}  {at}  {item['author']}  {keys}{note}"
 
 
@@ -288,38 +315,38 @@
 @click.argument("source")
 @_as_json
 @with_server
-def diff(server: Server, source: str, as_json: bool) -> None:
+def diff(server: ServerClient, source: str, as_json: bool) -> None:
     """Compare a ticket, by file or number, with the configuration in force."""
     if source.isdecimal():
-        held = server.get(f"/v1/tickets/{source}")["ticket"]
-        if held is None:
-            fail("The text of this ticket is no longer kept.", EXIT_REFUSED)
-        # The base is left out: the question is the difference, not the order.
-        data = json.dumps({**held, "based_on": None}).encode()
+        accepted = server.get_or_exit(f"/v1/tickets/{source}")["ticket"]
+        if accepted is None:
+            exit_with("The text of this ticket is no longer kept.", EXIT_REFUSED)
+        # The base is left out, as a comparison does not depend on the order of tickets.
+        data = json.dumps({**accepted, "based_on": None}).encode()
     else:
         with click.open_file(source, "rb") as file:
-            data = _read(t.cast(t.BinaryIO, file))
-    changes = server.body("POST", "/v1/tickets/check", data)["changes"]
-    _show(changes, as_json, changes)
+            data = _read_ticket(t.cast(t.BinaryIO, file))
+    changes = server.request_or_exit("POST", "/v1/tickets/check", data)["changes"]
+    _print_result(changes, as_json, changes)
 
 
 @click.command()
 @_as_json
 @with_server
-def status(server: Server, as_json: bool) -> None:
-    """Tell what is in force, what is wrong, and what can be done."""
-    found = server.get("/v1/status")
-    _show(found, as_json, [found["text"]])
+def status(server: ServerClient, as_json: bool) -> None:
+    """Print what is in force, what is wrong and what can be done."""
+    found = server.get_or_exit("/v1/status")
+    _print_result(found, as_json, [found["text"]])
 
 
 @click.command()
 @click.argument("request_id")
 @_as_json
 @with_server
-def explain(server: Server, request_id: str, as_json: bool) -> None:
-    """Tell where a request stands; needs a caller's key."""
-    found = server.get(f"/v1/explain/{urllib.parse.quote(request_id, safe='')}")
-    _show(found, as_json, [found["explanation"]])
+def explain(server: ServerClient, request_id: str, as_json: bool) -> None:
+    """Print the state of a request; needs a caller's key."""
+    found = server.get_or_exit(f"/v1/explain/{urllib.parse.quote(request_id, safe='')}")
+    _print_result(found, as_json, [found["explanation"]])
 
 
 @click.command()
@@ -327,11 +354,11 @@
 @click.option("--ticket", "number", default=0, help="Number of a ticket.")
 @click.option("--vm", default="", help="Name of a VM.")
 @click.option("--job", default="", help="Id of a request.")
-@click.option("--limit", default=1000, help="Most events to print.")
+@click.option("--limit", default=1000, help="Maximum number of events.")
 @_as_json
 @with_server
 def audit(
-    server: Server,
+    server: ServerClient,
     since: str,
     number: int,
     vm: str,
@@ -339,22 +366,22 @@
     limit: int,
     as_json: bool,
 ) -> None:
-    """Print what happened."""
-    start = f"{_start(since, time.time()):.3f}"
-    found = server.get(
-        "/v1/audit", since=start, ticket=number, vm=vm, job=job, limit=limit
+    """Print audit events, oldest first."""
+    earliest = f"{_parse_since(since, time.time()):.3f}"
+    found = server.get_or_exit(
+        "/v1/audit", since=earliest, ticket=number, vm=vm, job=job, limit=limit
     )
-    _show(found, as_json, map(_event_line, found["events"]))
+    _print_result(found, as_json, map(_event_line, found["events"]))
 
 
-_AGES = {"s": 1, "min": 60, "h": 3600, "d": 86_400}
+_UNIT_SECONDS = {"s": 1, "min": 60, "h": 3600, "d": 86_400}
 
 
-def _start(text: str, wall: float) -> float:
-    """Return the wall-clock time that an age or a date means."""
+def _parse_since(text: str, wall: float) -> float:
+    """Return the time of an age or a date, in seconds since the Unix epoch."""
     match = re.fullmatch(r"([0-9]{1,9}) ?(s|min|h|d)", text.strip())
     if match:
-        return max(0.0, wall - int(match[1]) * _AGES[match[2]])
+        return max(0.0, wall - int(match[1]) * _UNIT_SECONDS[match[2]])
     try:
         moment = datetime.datetime.fromisoformat(text)
     except ValueError:
@@ -365,7 +392,7 @@
 
 
 def _event_line(event: t.Mapping[str, t.Any]) -> str:
-    parts = [_moment(event["at"]), event["action"]]
+    parts = [_format_time(event["at"]), event["action"]]
     for name, label in (("ticket", "ticket"), ("vm", "VM"), ("request_id", "job")):
         if event[name]:
             parts.append(f"{label} {event[name]}")
--- a/src/poplaryard/ticket_template.py
+++ b/src/poplaryard/ticket_template.py
@@ -1,4 +1,4 @@
-"""Tickets to fill in."""
+"""Templates of tickets, for operators to fill in."""
 
 import datetime
 import json
@@ -68,22 +68,22 @@
     kind: str,
     name: str,
     author: str,
-    held: t.Mapping[str, t.Any] | None,
+    current: t.Mapping[str, t.Any] | None,
     number: int | None,
     wall: float,
 ) -> str:
-    """Return the text of a ticket for one object.
+    """Return the commented text of a ticket that sets one object.
 
     Parameters
     ----------
-    held : mapping or None
-        Present state of the object.
+    current : mapping or None
+        Object in force; None if it does not exist.
     number : int or None
-        Number of the configuration that `held` is from.
+        Number of the configuration that holds `current`; None if there is none.
     wall : float
         Seconds since the Unix epoch.
     """
-    item = held or {"kind": kind, "name": name, **_EXAMPLES[kind]}
+    item = current or {"kind": kind, "name": name, **_EXAMPLES[kind]}
     day = datetime.datetime.fromtimestamp(wall, datetime.UTC).strftime("%Y-%m-%d")
     value: dict[str, t.Any] = {
         "format": FORMAT,
@@ -94,6 +94,6 @@
     if number is not None:
         value["based_on"] = number
     value["objects"] = [item]
-    below = "Below is the present state" if held else "Below are example values"
-    comment = f"// {below} of {kind} {name}.\n"
+    heading = "Below is the present state" if current else "Below are example values"
+    comment = f"// {heading} of {kind} {name}.\n"
     return f"{_HEADER}{comment}{json.dumps(value, indent=2)}\n"
