--- a/src/poplaryard/standin.py
+++ b/src/poplaryard/standin.py
@@ -1,4 +1,4 @@
-"""Commands that run the stand-ins for the platform and the workers."""
+"""Commands that run simulated platforms and workers, called stand-ins."""
 
 import asyncio
 import typing as t
@@ -16,18 +16,18 @@
 
 @click.group()
 def standin() -> None:
-    """Run stand-ins for trials and tests."""
+    """Run a simulated platform or simulated workers for trials and tests."""
 
 
 @standin.command()
-@click.option("--port", default=0, help="Port; 0 takes a free one.")
+@click.option("--port", default=0, help="Port; 0 selects a free one.")
 def platform(port: int) -> None:
-    """Run a stand-in for the platform's store and VM list."""
+    """Run a stand-in for the store and the VM list of the platform."""
     asyncio.run(_run_platform(port))
 
 
 @standin.command()
-@click.option("--port", default=0, help="First port; 0 takes free ones.")
+@click.option("--port", default=0, help="First port; 0 selects free ones.")
 @click.option("--count", default=1, help="Number of workers.")
 @click.option("--data-centre", default="dc1")
 @click.option("--group", default="booking", help="First part of the workers' names.")
@@ -37,7 +37,7 @@
 def worker(
     port: int, count: int, data_centre: str, group: str, **capacity: int
 ) -> None:
-    """Run a stand-in for COUNT workers, each on a port of its own."""
+    """Run stand-ins for COUNT workers, each on a separate port."""
     names = [f"{data_centre}-{group}-{index:03d}" for index in range(count)]
     vms = [WorkerVm(name, Resources(**capacity)) for name in names]
     asyncio.run(_run_workers(vms, port))
--- a/src/poplaryard/standin_platform.py
+++ b/src/poplaryard/standin_platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: key-value store and VM list over HTTP, with faults."""
+"""State of the platform stand-in: key-value store, VM list and injected faults."""
 
 import asyncio
 import itertools
@@ -12,24 +12,28 @@
 
 __all__ = ["MemoryStore", "PlatformFaults", "VmRecord"]
 
+# Maximum length of a value in characters of JSON.
 VALUE_LIMIT = 1_000_000
+# Number of changes that a watch can look back on.
 WATCH_LOG_KEPT = 10_000
 
 
 @dataclass(slots=True)
 class PlatformFaults:
-    """Faults that the platform shows until told otherwise.
+    """Faults that the platform stand-in injects until they are changed.
 
     Attributes
     ----------
+    outage : bool
+        Whether every call is refused with status 503.
     delay_s : float
-        Time added to each call.
+        Seconds added to each call.
     lose_replies : int
-        Replies of writes still to be withheld after the write took effect.
+        Number of further writes that take effect but whose replies are withheld.
     writes_per_s, reads_per_s : float
         Calls allowed per second; more are refused with status 429.
     list_lag_s : float
-        Time by which the VM list lags behind.
+        Seconds after which a change appears in the VM list.
     """
 
     outage: bool = False
@@ -42,7 +46,15 @@
 
 @dataclass(slots=True)
 class VmRecord:
-    """VM as the platform lists it."""
+    """VM and its entry in the VM list.
+
+    Attributes
+    ----------
+    since : float
+        Monotonic time of the last change, in seconds.
+    listed : dict
+        Entry in the VM list, which lags behind the other fields; empty at first.
+    """
 
     name: str
     data_centre: str
@@ -72,8 +84,8 @@
         self._clock = clock
         self._entries: dict[str, Entry] = {}
         self._leases: dict[str, _Lease] = {}
-        self._version = itertools.count(1)
-        self._lease_number = itertools.count(1)
+        self._versions = itertools.count(1)
+        self._lease_numbers = itertools.count(1)
         self._log: deque[Entry] = deque(maxlen=WATCH_LOG_KEPT)
         self._changed = asyncio.Event()
         self.calls: Counter[str] = Counter()
@@ -88,11 +100,17 @@
         return [self._entries[key] for key in keys]
 
     def put_if(self, key: str, value: t.Any, version: int, lease: str = "") -> Entry:
-        """Write if the key's version is `version`; raises `StoreConflict`."""
+        """Write a value if the key has the given version, 0 for a key that is absent.
+
+        Raises
+        ------
+        StoreConflict
+            If the key has another version or the lease has lapsed.
+        """
         self._check_version(key, version)
         if lease and lease not in self._leases:
             raise StoreConflict("The lease has lapsed.")
-        entry = Entry(key, value, next(self._version), lease)
+        entry = Entry(key, value, next(self._versions), lease)
         self._entries[key] = entry
         if lease:
             self._leases[lease].keys.add(key)
@@ -100,19 +118,25 @@
         return entry
 
     def delete_if(self, key: str, version: int) -> None:
-        """Delete if the key's version is `version`; raises `StoreConflict`."""
+        """Delete a key if it has the given version.
+
+        Raises
+        ------
+        StoreConflict
+            If the key has another version.
+        """
         self._check_version(key, version)
         if self._entries.pop(key, None) is not None:
-            self._publish(Entry(key, None, next(self._version)))
+            self._publish(Entry(key, None, next(self._versions)))
 
     def grant(self, ttl_s: float) -> str:
-        """Return the id of a new lease."""
-        lease = f"lease-{next(self._lease_number)}"
+        """Return the id of a new lease that lapses after `ttl_s` seconds."""
+        lease = f"lease-{next(self._lease_numbers)}"
         self._leases[lease] = _Lease(ttl_s, self._clock() + ttl_s)
         return lease
 
     def keep_alive(self, lease: str) -> bool:
-        """Renew a lease; False if it has lapsed."""
+        """Renew a lease; return False if it has lapsed."""
         self.expire()
         found = self._leases.get(lease)
         if found is None:
@@ -121,7 +145,7 @@
         return True
 
     def revoke(self, lease: str) -> None:
-        """End a lease and delete the keys bound to it."""
+        """End a lease and delete the keys written with it."""
         found = self._leases.pop(lease, None)
         for key in sorted(found.keys) if found else ():
             entry = self._entries.get(key)
@@ -129,23 +153,28 @@
                 self.delete_if(key, entry.version)
 
     def expire(self) -> None:
-        """End every lease that was not renewed in time."""
+        """End every lease that has lapsed."""
         now = self._clock()
-        for lease in [name for name, one in self._leases.items() if one.until <= now]:
+        for lease in [
+            name for name, granted in self._leases.items() if granted.until <= now
+        ]:
             self.revoke(lease)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> list[Entry]:
-        """Wait for entries under a prefix with a version above `after`."""
+        """Return the entries under a prefix with a version above `after`.
+
+        Waits up to `wait_s` seconds for a first one. A deleted key has the value None.
+        """
         until = self._clock() + wait_s
-        while not (found := self._newer(prefix, after)):
-            left = until - self._clock()
-            if left <= 0:
+        while not (found := self._entries_after(prefix, after)):
+            remaining_s = until - self._clock()
+            if remaining_s <= 0:
                 return []
-            await self._wait(left)
+            await self._wait_for_change(remaining_s)
         return found
 
-    def _newer(self, prefix: str, after: int) -> list[Entry]:
-        """Return the last entry of each key changed after a version."""
+    def _entries_after(self, prefix: str, after: int) -> list[Entry]:
+        """Return the newest entry of each key changed after a version."""
         found: dict[str, Entry] = {}
         for entry in reversed(self._log):
             if entry.version <= after:
@@ -154,7 +183,7 @@
                 found.setdefault(entry.key, entry)
         return sorted(found.values(), key=lambda entry: entry.version)
 
-    async def _wait(self, wait_s: float) -> None:
+    async def _wait_for_change(self, wait_s: float) -> None:
         try:
             await asyncio.wait_for(self._changed.wait(), wait_s)
         except TimeoutError:
@@ -162,7 +191,8 @@
 
     def _publish(self, entry: Entry) -> None:
         self._log.append(entry)
-        # Waiters hold the old event, so that a write between two waits is not missed.
+        # A task that waits keeps the old event, which stays set, so that it sees this
+        # write. Later waits use the new event.
         self._changed.set()
         self._changed = asyncio.Event()
 
--- a/src/poplaryard/standin_platform_http.py
+++ b/src/poplaryard/standin_platform_http.py
@@ -23,7 +23,7 @@
 
 __all__ = ["PlatformHost"]
 
-# Time for which a lost reply is withheld; longer than any caller waits for it.
+# Delay of a reply that counts as lost; no caller waits this long.
 HANG_S = 30.0
 EXPIRY_PERIOD_S = 0.1
 WATCH_WAIT_LIMIT_S = 30.0
@@ -31,15 +31,15 @@
 
 
 class PlatformHost:
-    """Serves the store and the VM list on one address."""
+    """HTTP server of the platform stand-in: store, VM list and fault injection."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
         self.faults = PlatformFaults()
         self.vms: dict[str, VmRecord] = {}
-        self._windows: dict[str, tuple[int, int]] = {}
+        self._rate_windows: dict[str, tuple[int, int]] = {}
         self._server: HttpServer | None = None
-        self._expiry: asyncio.Task[None] | None = None
+        self._expiry_task: asyncio.Task[None] | None = None
         self.app = Starlette(
             routes=[
                 Route("/store/v1/{name}", self._call, methods=["POST"]),
@@ -50,16 +50,16 @@
         )
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Serve and return the address."""
+        """Start serving and return the address."""
         self._server = HttpServer(self.app, host, port, graceful_s=0.1)
         await self._server.start()
-        self._expiry = asyncio.create_task(self._expire())
+        self._expiry_task = asyncio.create_task(self._expire_leases())
         return f"{host}:{self._server.ports[0]}"
 
     async def stop(self) -> None:
         """Stop serving."""
-        if self._expiry is not None:
-            self._expiry.cancel()
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
         if self._server is not None:
             await self._server.stop()
 
@@ -68,10 +68,10 @@
         limit = time.monotonic() - self.faults.list_lag_s
         for vm in self.vms.values():
             if vm.since <= limit:
-                vm.listed = _vm_entry(vm)
+                vm.listed = _encode_vm(vm)
         return [vm.listed for vm in self.vms.values() if vm.listed]
 
-    async def _expire(self) -> None:
+    async def _expire_leases(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_PERIOD_S)
             self.store.expire()
@@ -110,17 +110,21 @@
         kind = "write" if write else "read"
         limit = self.faults.writes_per_s if write else self.faults.reads_per_s
         second = int(time.monotonic())
-        started, count = self._windows.get(kind, (second, 0))
+        started, count = self._rate_windows.get(kind, (second, 0))
         count = count + 1 if started == second else 1
-        self._windows[kind] = (second, count)
+        self._rate_windows[kind] = (second, count)
         return count <= limit
 
     async def _do_get(self, body: t.Any) -> t.Any:
         entry = self.store.get(body["key"])
-        return {"entry": _json(entry) if entry else None}
+        return {"entry": _encode_entry(entry) if entry else None}
 
     async def _do_scan(self, body: t.Any) -> t.Any:
-        return {"entries": [_json(entry) for entry in self.store.scan(body["prefix"])]}
+        return {
+            "entries": [
+                _encode_entry(entry) for entry in self.store.scan(body["prefix"])
+            ]
+        }
 
     async def _do_put_if(self, body: t.Any) -> t.Any:
         if len(json.dumps(body["value"])) > VALUE_LIMIT:
@@ -128,7 +132,7 @@
         entry = self.store.put_if(
             body["key"], body["value"], body["version"], body.get("lease", "")
         )
-        return {"entry": _json(entry)}
+        return {"entry": _encode_entry(entry)}
 
     async def _do_delete_if(self, body: t.Any) -> t.Any:
         self.store.delete_if(body["key"], body["version"])
@@ -147,7 +151,7 @@
     async def _do_watch(self, body: t.Any) -> t.Any:
         wait_s = min(float(body["wait_s"]), WATCH_WAIT_LIMIT_S)
         found = await self.store.watch(body["prefix"], int(body["after"]), wait_s)
-        return {"entries": [_json(entry) for entry in found]}
+        return {"entries": [_encode_entry(entry) for entry in found]}
 
     async def _do_vms(self, body: t.Any) -> t.Any:
         wanted = body.get("data_centre")
@@ -172,7 +176,7 @@
         return JSONResponse(dict(self.store.calls))
 
 
-def _vm_entry(vm: VmRecord) -> dict[str, t.Any]:
+def _encode_vm(vm: VmRecord) -> dict[str, t.Any]:
     return {
         "name": vm.name,
         "data_centre": vm.data_centre,
@@ -181,7 +185,7 @@
     }
 
 
-def _json(entry: Entry) -> dict[str, t.Any]:
+def _encode_entry(entry: Entry) -> dict[str, t.Any]:
     return {
         "key": entry.key,
         "value": entry.value,
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -10,9 +10,9 @@
 
 
 class PlatformTest(testtools.TestCase):
-    """The stand-in and the HTTP adapter of the store, over a real socket."""
+    """Tests of the platform stand-in with the HTTP client of the store."""
 
-    def run_with(self, scenario):
+    def run_scenario(self, scenario):
         asyncio.run(asyncio.wait_for(self._run(scenario), 30))
 
     async def _run(self, scenario):
@@ -25,7 +25,7 @@
             await client.close()
             await host.stop()
 
-    async def failure(self, kind, call):
+    async def assert_fails_with(self, kind, call):
         try:
             await call
         except kind:
@@ -33,23 +33,27 @@
         self.fail(f"{kind.__name__} was not raised")
 
     def test_compare_and_swap(self):
-        """Guards against a second writer that replaces the first one's value."""
+        """Guards against a write with an old version that replaces a newer value."""
 
         async def scenario(host, store):
             first = await store.put_if("a/1", {"n": 1}, 0)
-            await self.failure(StoreConflict, store.put_if("a/1", {"n": 2}, 0))
+            await self.assert_fails_with(
+                StoreConflict, store.put_if("a/1", {"n": 2}, 0)
+            )
             second = await store.put_if("a/1", {"n": 2}, first.version)
             await store.put_if("a/2", 3, 0)
             self.assertEqual(second, await store.get("a/1"))
             self.assertEqual(["a/1", "a/2"], [e.key for e in await store.scan("a/")])
-            await self.failure(StoreConflict, store.delete_if("a/1", first.version))
+            await self.assert_fails_with(
+                StoreConflict, store.delete_if("a/1", first.version)
+            )
             await store.delete_if("a/1", second.version)
             self.assertIsNone(await store.get("a/1"))
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
     def test_keys_end_with_their_lease(self):
-        """Guards against members that stay listed after their process has ended."""
+        """Guards against keys that remain in the store after their lease has ended."""
 
         async def scenario(host, store):
             lease = await store.grant(60.0)
@@ -60,12 +64,14 @@
             found = await watch
             self.assertEqual([("m/1", None)], [(e.key, e.value) for e in found])
             self.assertFalse(await store.keep_alive(lease))
-            await self.failure(StoreConflict, store.put_if("m/2", 1, 0, lease))
+            await self.assert_fails_with(
+                StoreConflict, store.put_if("m/2", 1, 0, lease)
+            )
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
     def test_watch_returns_what_it_missed(self):
-        """Guards against a change between two watches that is never seen."""
+        """Guards against a watch that misses a change made before it starts."""
 
         async def scenario(host, store):
             first = await store.put_if("w", 1, 0)
@@ -74,37 +80,41 @@
             self.assertEqual([second], found)
             self.assertEqual([], await store.watch("w", second.version, 0.01))
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
     def test_outage_and_rates(self):
-        """Guards against a refused call that is taken for one with unknown effect."""
+        """Guards against a refused call whose outcome is reported as unknown."""
 
         async def scenario(host, store):
             host.faults.outage = True
-            await self.failure(StoreDown, store.put_if("k", 1, 0))
+            await self.assert_fails_with(StoreDown, store.put_if("k", 1, 0))
             host.faults.outage, host.faults.reads_per_s = False, 0
-            await self.failure(StoreDown, store.get("k"))
+            await self.assert_fails_with(StoreDown, store.get("k"))
             self.assertEqual((0, 2), (sum(host.store.calls.values()), store.calls))
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
     def test_lost_reply(self):
-        """Guards against "not written" for a write that took effect."""
+        """Guards against a write that took effect but is reported as not written."""
 
         async def scenario(host, store):
             host.faults.lose_replies = 1
-            await self.failure(StoreReplyLost, store.put_if("k", 1, 0))
+            await self.assert_fails_with(StoreReplyLost, store.put_if("k", 1, 0))
             self.assertEqual(1, (await store.get("k")).value)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
     def test_vm_list_lags(self):
-        """Guards against a list that shows a change at once, unlike the platform's."""
+        """Guards against a VM list that lacks the lag of the platform's list."""
 
         async def scenario(host, store):
             host.faults.list_lag_s = 0.0
-            await self._set(host, store, name="vm1", data_centre="dc1", address="a:1")
-            await self._set(host, store, name="vm2", data_centre="dc2", address="a:2")
+            await self._set_vm(
+                host, store, name="vm1", data_centre="dc1", address="a:1"
+            )
+            await self._set_vm(
+                host, store, name="vm2", data_centre="dc2", address="a:2"
+            )
             self.assertEqual([ListedVm("vm1")], await store.vms("dc1"))
             host.faults.list_lag_s = 3600.0
             host.vms["vm1"].leaving = True
@@ -113,8 +123,8 @@
             host.faults.list_lag_s = -3600.0
             self.assertEqual([ListedVm("vm1", True)], await store.vms("dc1"))
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
-    async def _set(self, host, store, **vm):
+    async def _set_vm(self, host, store, **vm):
         url = store._url.replace("store/v1", "standin/vm")
         await store._client.post(url, vm, 5.0)
