--- a/src/poplaryard/status.py
+++ b/src/poplaryard/status.py
@@ -24,6 +24,9 @@
 
     Attributes
     ----------
+    number, store_number : int
+        Numbers of the configuration in force here and of the one last read from the
+        store.
     behind : tuple of str
         Local processes that have not confirmed `number`.
     behind_s : float
@@ -35,6 +38,8 @@
         Changes from peers that this version could not read.
     audit_waiting, audit_lost, audit_failures : int
         Audit entries not yet stored, entries dropped, and failed writes.
+    suspected : tuple of str
+        Processes whose heartbeats are missing.
     ownerless : tuple of str
         Shards of this data centre without an owner.
     queued, shed : int
@@ -185,7 +190,7 @@
         "See whether VMs are missing, or lower the replicas by ticket.",
     ),
     "never-fits": (
-        "It waits and keeps no other work from running.",
+        "It waits and does not block other work.",
         "File a ticket with a smaller size, or add VMs that can hold it.",
     ),
 }
