--- a/src/poplaryard/exchange.py
+++ b/src/poplaryard/exchange.py
@@ -149,7 +149,7 @@
         while self._app.dispatcher.shards.get(task.shard) is task:
             try:
                 await self._app.config_task.refresh()
-                await self._app.vm_list.read()
+                await self._app.vm_list.poll_once()
             except PoplaryardError:
                 await asyncio.sleep(LIST_RETRY_S * random.uniform(1.0, 2.0))
             else:
--- a/src/poplaryard/vmlist.py
+++ b/src/poplaryard/vmlist.py
@@ -82,10 +82,10 @@
     async def _run(self) -> None:
         while True:
             with contextlib.suppress(PoplaryardError):
-                await self.read()
+                await self.poll_once()
             await asyncio.sleep(POLL_S)
 
-    async def read(self) -> None:
+    async def poll_once(self) -> None:
         """Read the list once; raises `PoplaryardError` if the platform fails."""
         vms = await self._source.vms(self._data_centre)
         previous, self._listed = self._listed, {vm.name: vm for vm in vms}
--- a/tests/test_vmlist.py
+++ b/tests/test_vmlist.py
@@ -35,7 +35,7 @@
         async def poll_all():
             while lists:
                 with contextlib.suppress(StoreDown):
-                    await poller.read()
+                    await poller.poll_once()
 
         asyncio.run(poll_all())
         expected = [("a", False), ("b", False), ("b", True), "a"]
