--- a/src/poplaryard/client.py
+++ b/src/poplaryard/client.py
@@ -17,6 +17,7 @@
 
 __all__ = ["HttpClient", "RawReply", "Reply"]
 
+# Longest time to open a connection, in seconds.
 CONNECT_TIMEOUT_S = 1.0
 # Idle timeout of a pooled connection in ms. Shorter than the servers' keep-alive time,
 # so that no call is sent over a connection that the server is about to close.
@@ -119,6 +120,8 @@
         PoplaryardError
             With `Code.PEER_UNREACHABLE` if the call was not sent, and with
             `Code.PEER_TIMEOUT` if it may have taken effect.
+        ValueError
+            If `body` contains NaN or infinity.
         """
         data = json.dumps(body, separators=(",", ":"), allow_nan=False).encode()
         return await self.request("POST", url, data, timeout_s)
--- a/src/poplaryard/logs.py
+++ b/src/poplaryard/logs.py
@@ -14,11 +14,11 @@
 
 __all__ = [
     "BackgroundStream",
+    "bind_request_id",
     "configure",
     "log_failure",
     "logger",
     "request_id",
-    "bind_request_id",
 ]
 
 logger = logging.getLogger("poplaryard")
@@ -29,10 +29,10 @@
 _RENAMED_FIELDS = {"asctime": "time", "levelname": "level"}
 
 
-# Most lines that are buffered; about 1 MB.
+# Maximum number of buffered lines; about 1 MB.
 MAX_WAITING_LINES = 4000
-# Time for which lines are collected before they are written, in seconds: each write
-# wakes the reader.
+# Time for which lines are collected before they are written, in seconds. One write for
+# each line would wake the process that reads the stream each time.
 WRITE_EVERY_S = 0.05
 # Lines in one write. A longer write may exceed the capacity of a pipe, and some readers
 # would then cut a line in two.
@@ -140,7 +140,7 @@
     process : str
         Process id with its incarnation.
     level : str
-        Lowest level that is logged, in any case.
+        Lowest level that is logged, in upper or lower case.
     ticket : callable
         Returns the number of the ticket in force.
     stream : text stream, optional
--- a/src/poplaryard/metrics.py
+++ b/src/poplaryard/metrics.py
@@ -45,7 +45,7 @@
 
     Parameters
     ----------
-    read : callable
+    collect : callable
         Returns the current samples.
     """
 
--- a/src/poplaryard/platform/__init__.py
+++ b/src/poplaryard/platform/__init__.py
@@ -8,8 +8,8 @@
 __all__ = [
     "AdviceClient",
     "DecodeFailed",
-    "Response",
     "PlatformFrontend",
     "PlatformStore",
+    "Response",
     "WorkerClient",
 ]
--- a/src/poplaryard/platform/codec.py
+++ b/src/poplaryard/platform/codec.py
@@ -31,6 +31,7 @@
 CONFIG_KEY = "op/config"
 WORKER_PREFIX = "servers/"
 
+# Limits of a submitted job: number of steps, and number of tasks of one step.
 MAX_STEPS = 1000
 MAX_TASKS = 100_000
 
@@ -85,7 +86,7 @@
     prefix: str
     service: str
     timeout_ms: Milliseconds = 3000.0
-    # The objective for a job is its estimated run time times `stretch`, plus this.
+    # The objective for a job is `stretch` times its estimated critical path, plus this.
     target_duration_ms: Milliseconds = 0.0
     priority: int = 0
     attempts: int = 1
@@ -149,6 +150,11 @@
 
     Parameters
     ----------
+    body : bytes
+        JSON text.
+    job_id : str
+    queue : Queue
+        Queue whose policy applies to the job.
     accepted_at : float
         Wall-clock time in seconds.
 
@@ -157,17 +163,19 @@
     DecodeFailed
         If the body is malformed or a step depends on itself or a later one.
     """
-    found = _decode(_submission_decoder, body)
-    steps = tuple(_step_spec(number, step) for number, step in enumerate(found.steps))
+    submission = _decode(_submission_decoder, body)
+    steps = tuple(
+        _step_spec(number, step) for number, step in enumerate(submission.steps)
+    )
     return JobSpec(
         job_id=job_id,
         queue=queue.name,
         group=queue.group,
-        payload=found.spec,
+        payload=submission.spec,
         steps=steps,
-        times=found.times,
-        first_at=found.first_run_ms / 1000,
-        interval_s=found.interval_ms / 1000,
+        times=submission.times,
+        first_at=submission.first_run_ms / 1000,
+        interval_s=submission.interval_ms / 1000,
         accepted_at=accepted_at,
         priority=queue.priority,
         attempts=queue.attempts,
@@ -179,53 +187,53 @@
 
 def decode_config(value: bytes) -> QueueTable:
     """Decode the operator's configuration; raises `DecodeFailed`."""
-    found = _decode(_config_decoder, value)
+    config = _decode(_config_decoder, value)
     return QueueTable(
-        version=found.version,
-        queues=tuple(_route_queue(route) for route in found.routes),
-        groups=tuple(service.name for service in found.services if not service.spare),
+        version=config.version,
+        queues=tuple(_route_queue(route) for route in config.routes),
+        groups=tuple(service.name for service in config.services if not service.spare),
         capacity_checked=frozenset(
-            service.name for service in found.services if service.admission_check
+            service.name for service in config.services if service.admission_check
         ),
-        max_body_bytes=found.limits.max_body_bytes,
+        max_body_bytes=config.limits.max_body_bytes,
     )
 
 
 def decode_worker(key: str, value: bytes) -> WorkerInfo:
     """Decode the entry that a worker wrote about itself; raises `DecodeFailed`."""
-    found = _decode(_entry_decoder, value)
+    entry = _decode(_entry_decoder, value)
     return WorkerInfo(
         worker_id=key.removeprefix(WORKER_PREFIX),
-        group=found.service,
-        address=found.address,
-        data_centre=found.zone,
-        capacity=Resources(found.room.cpu, found.room.mem_mb, found.room.gpu),
-        labels=tuple(found.labels),
-        draining=found.state == "draining",
-        born_ms=int(found.born),
-        clock_s=found.clock_ms / 1000,
-        remaining_s=found.remaining_ms / 1000,
-        machine=found.machine,
+        group=entry.service,
+        address=entry.address,
+        data_centre=entry.zone,
+        capacity=Resources(entry.room.cpu, entry.room.mem_mb, entry.room.gpu),
+        labels=tuple(entry.labels),
+        draining=entry.state == "draining",
+        born_ms=int(entry.born),
+        clock_s=entry.clock_ms / 1000,
+        remaining_s=entry.remaining_ms / 1000,
+        machine=entry.machine,
     )
 
 
 def decode_hold_report(body: bytes) -> HoldReport:
     """Decode a worker's answer to a lease renewal; raises `DecodeFailed`."""
-    found = _decode(_hold_decoder, body)
+    hold = _decode(_hold_decoder, body)
     try:
         running = tuple(
             RunningRun(
                 row[0], row[1], row[2], float(row[3]), row[4] if len(row) > 4 else 0.0
             )
-            for row in found.running
+            for row in hold.running
         )
         ended = tuple(
             EndedRun(row[0], row[1], row[2], RunOutcome(row[3]), row[4])
-            for row in found.finished
+            for row in hold.finished
         )
     except (IndexError, TypeError, ValueError) as exc:
         raise DecodeFailed(f"malformed list of runs: {exc}") from exc
-    return HoldReport(found.clock_ms / 1000, int(found.born), running, ended)
+    return HoldReport(hold.clock_ms / 1000, int(hold.born), running, ended)
 
 
 def _decode(decoder: t.Any, value: bytes) -> t.Any:
--- a/src/poplaryard/platform/entry.py
+++ b/src/poplaryard/platform/entry.py
@@ -44,8 +44,8 @@
 # Time for requests in progress after that, in seconds: as long as the write of a job
 # may be retried.
 DRAIN_S = 2.8
-# Part of the grace period that is reserved for the last calls, in seconds. SIGKILL
-# ends the process when the period is over.
+# Part of the grace period that is reserved for closing the owners and ending the lease,
+# in seconds. SIGKILL ends the process when the period is over.
 LAST_S = 1.4
 
 
--- a/src/poplaryard/platform/front.py
+++ b/src/poplaryard/platform/front.py
@@ -15,7 +15,7 @@
 from ..workload.relay import RELAY_PATH, answer_relayed
 from .codec import DecodeFailed, decode_submission
 
-__all__ = ["Response", "PlatformFrontend"]
+__all__ = ["PlatformFrontend", "Response"]
 
 READY_PATH = "/poplaryard/readyz"
 # Time after which a refused client should retry, in seconds. By then the platform's
@@ -23,7 +23,7 @@
 RETRY_S = 1.0
 # Part of the client's deadline that is reserved to send the response, in seconds.
 ANSWER_S = 0.2
-# Deadline of a request without the header x-deadline-ms, in seconds.
+# Default deadline of a request, without the header x-deadline-ms, in seconds.
 DEADLINE_S = 3.0
 METRICS_PATH = "/metrics"
 # Limit of a peer's request: a transaction of 16 jobs of the largest size.
@@ -90,24 +90,25 @@
         if path.startswith("/peer/v1/"):
             return await self._handle_peer(path, receive)
         if not self._node.queues.version:
+            # No configuration has been read yet.
             return Response(503, retry_after_s=RETRY_S)
         queue = self._node.queues.find(_host(scope), path)
         if queue is None:
             return Response(404)
-        name = path[len(queue.prefix) :]
-        if not name:
+        job_id = path[len(queue.prefix) :]
+        if not job_id:
             return await self._get_pending(queue, method)
-        if not _JOB_ID.match(name):
+        if not _JOB_ID.match(job_id):
             return Response(404)
         if method == "POST":
             limit = self._node.queues.max_body_bytes
             retry_window_s = min(_deadline_s(scope), queue.timeout_s) - ANSWER_S
             body = await _read_body(receive, limit)
-            return await self._post_job(queue, name, body, retry_window_s)
+            return await self._post_job(queue, job_id, body, retry_window_s)
         if method == "GET":
-            return await self._get_state(queue, name)
+            return await self._get_state(queue, job_id)
         if method == "DELETE":
-            cancelled = await self._node.cancel(queue, name)
+            cancelled = await self._node.cancel(queue, job_id)
             return Response(200, {}) if cancelled else Response(410)
         return Response(405)
 
@@ -166,6 +167,7 @@
 
 
 async def _read_body(receive: Receive, limit: int) -> bytes:
+    """Return the request body; empty if the client has disconnected."""
     parts: list[bytes] = []
     size = 0
     while True:
--- a/src/poplaryard/platform/services.py
+++ b/src/poplaryard/platform/services.py
@@ -116,8 +116,8 @@
         Raises
         ------
         WorkerUnreachable
-            If the worker gave no valid answer, or if another incarnation of it or
-            another worker answered at its address.
+            If the worker gave no valid answer, or if another instance of it or another
+            worker answered at its address.
         """
         body: dict[str, t.Any] = {"fencing_token": fence, "ack_seq": acknowledged}
         if deadline_s is not None:
@@ -162,7 +162,10 @@
     async def ask(
         self, step: str, workers: list[str], timeout_s: float, slow: bool = False
     ) -> tuple[dict[str, str], float] | None:
-        """Return tickets by worker and their validity in seconds; None if refused."""
+        """Return tickets by worker and their validity in seconds; None if refused.
+
+        `slow` is part of the `Advisor` interface and not used here.
+        """
         body = json.dumps({"step": step, "workers": workers}).encode()
         reply = await self._client.request("POST", self._url, body, timeout_s)
         if reply.status != 200:
@@ -173,6 +176,7 @@
 
 
 def _reason(content: bytes) -> str:
+    """Return the reason of a rejection; empty if the body is malformed."""
     try:
         found = json.loads(content)
         return str(found.get("reason", "")) if isinstance(found, dict) else ""
--- a/src/poplaryard/platform/store.py
+++ b/src/poplaryard/platform/store.py
@@ -162,6 +162,7 @@
 
 
 def _present_items(transaction: Transaction, found: list[t.Any]) -> list[Item | None]:
+    """Return the items of the expected keys; None for a key that does not exist."""
     present = {entry["key"]: entry for entry in found if entry.get("value") is not None}
     return [
         _parse_item(present[key])
--- a/src/poplaryard/store.py
+++ b/src/poplaryard/store.py
@@ -27,7 +27,7 @@
 
 
 class Store(t.Protocol):
-    """Calls of the platform's store; each counts against its rate limits.
+    """Calls to the platform's store; each counts against its rate limits.
 
     Every method raises `StoreDown` if the call had no effect, and `StoreReplyLost` if
     it may have taken effect.
--- a/src/poplaryard/trace.py
+++ b/src/poplaryard/trace.py
@@ -34,11 +34,11 @@
 
 
 def _format_event(event: dict[str, t.Any]) -> str:
-    inputs = ", ".join(
+    fields = ", ".join(
         f"{name} {value}" for name, value in event.items() if name not in _COMMON
     )
     text = f"{event.get('time', '?')} {event.get('process', '?')}: {event['message']}"
-    return f"{text} ({inputs})" if inputs else text
+    return f"{text} ({fields})" if fields else text
 
 
 @click.command()
--- a/src/poplaryard/vmlist.py
+++ b/src/poplaryard/vmlist.py
@@ -9,8 +9,8 @@
 
 __all__ = ["ListedVm", "VmList", "VmListPoller"]
 
-# Time between two reads of the list, in seconds. Promise P6 allows placements on a
-# leaving VM for 3 s after it was listed as leaving.
+# Time between two reads of the list, in seconds. Placements on a leaving VM are allowed
+# for 3 s after it was listed as leaving (P6).
 POLL_S = 2.0
 
 
@@ -86,7 +86,7 @@
             await asyncio.sleep(POLL_S)
 
     async def poll_once(self) -> None:
-        """Read the list once; raises `PoplaryardError` if the platform fails."""
+        """Read the list and report changes; raises `PoplaryardError` on failure."""
         vms = await self._source.vms(self._data_centre)
         previous, self._listed = self._listed, {vm.name: vm for vm in vms}
         for vm in vms:
--- a/src/poplaryard/workers.py
+++ b/src/poplaryard/workers.py
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Renewal:
-    """Times, in ms on the worker's clock, after which a poll renews no leases.
+    """Latest arrival, in ms on the worker's clock, of a poll that renews leases.
 
-    A poll may be delivered late because its sender was paused. It must not extend the
-    lease of an attempt whose expiry the next owner has already waited for.
+    A poll that arrives later, since its sender was paused, renews none: the next owner
+    may already have waited until the leases ended.
 
     Attributes
     ----------
@@ -34,7 +34,7 @@
 
 
 class Workers(t.Protocol):
-    """Calls of a worker VM.
+    """Calls to worker VMs.
 
     Every method raises `PoplaryardError` with `Code.WORKER_UNREACHABLE` if there is no
     valid answer; the call may have taken effect then.
--- a/src/poplaryard/workers_http.py
+++ b/src/poplaryard/workers_http.py
@@ -21,6 +21,7 @@
 
 _clock = SystemClock()
 
+# Timeouts in seconds; a poll has this much more than its own wait.
 CALL_TIMEOUT_S = 1.5
 CLAIM_TIMEOUT_S = 3.0
 
--- a/src/poplaryard/workload/advice.py
+++ b/src/poplaryard/workload/advice.py
@@ -12,12 +12,12 @@
 from ..exceptions import PoplaryardError
 from ..logs import logger
 
-__all__ = ["SLOW_S", "ChannelPool", "Advisor", "Channel", "LocalAdvisor"]
+__all__ = ["SLOW_S", "Advisor", "Channel", "ChannelPool", "LocalAdvisor"]
 
 # Calls expected to take longer than this are slow, in seconds. Quick calls are made
 # for short tasks, where a delay of 0.1 s is noticeable to the caller.
 SLOW_S = 0.1
-# Quick calls of one process that may be queued at the advice service at once.
+# Maximum number of quick calls in progress on a channel.
 QUICK_CALLS = 3
 # An owner uses its own channel for slow calls only after this long without a quick
 # call, in seconds.
@@ -82,8 +82,13 @@
         Whether that process owns groups and needs its channel for their quick calls.
     slow_calls, quick_calls : int
         Calls in progress.
-    paused_until, last_used_at, last_quick_at : float
-        Times on the owner's clock, in seconds.
+    paused_until : float
+        Time before which the channel is not selected, in seconds.
+    last_used_at : float
+        Time of the last call, in seconds.
+    last_quick_at : float
+        Time of the last quick call of this process on any channel, in seconds; kept
+        only on the local channel.
     """
 
     name: str
@@ -96,10 +101,10 @@
     last_quick_at: float = float("-inf")
 
     def acquire(self, slow: bool, now: float) -> None:
-        """Count a call that is about to begin.
+        """Count a call as in progress.
 
-        The call is sent by a task that starts later; until then the channel would
-        otherwise be selected again.
+        This happens before the task of the call runs, since otherwise the channel could
+        be selected again meanwhile.
         """
         self.last_used_at = now
         if slow:
@@ -141,7 +146,7 @@
         return self._select_slow(now) if slow else self._select_quick(now)
 
     def acquire(self, channel: Channel, slow: bool, now: float) -> None:
-        """Reserve a channel for a call; call `Channel.release` when it has ended."""
+        """Count a call as in progress; `Channel.release` follows when it has ended."""
         channel.acquire(slow, now)
         if not slow:
             self._local.last_quick_at = now
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -1,4 +1,4 @@
-"""Application object of a process: accepts jobs and owns groups of workers."""
+"""Scheduler process: accepts jobs and owns groups of workers."""
 
 import asyncio
 import random
@@ -24,15 +24,17 @@
 from .storage import Change, Storage, Transaction
 from .watching import PrefixWatcher
 
-__all__ = ["StoreSchema", "Node", "NodeConfig", "Unavailable", "strength"]
+__all__ = ["Node", "NodeConfig", "StoreSchema", "Unavailable", "strength"]
 
-# Timeout of calls to peers, in seconds. A question about a job goes to the store then.
+# Timeout of calls to peers, in seconds. If the owner of a job does not answer within
+# it, the state of the job is read from the store.
 PEER_TIMEOUT_S = 0.4
 # Delay before a claim for each group that the process owns already, and pause after a
 # failed claim, in seconds. Other processes claim meanwhile, which spreads the groups.
 CLAIM_STEP_S = 0.15
 # Delay before a claim of a process of strength 0, in seconds, so that stronger ones
-# claim first. A claim takes about 10 ms, and watches show it 10 ms later.
+# claim first. A claim takes about 10 ms, and peers see it through their watches about
+# 10 ms later.
 WEAK_DELAY_S = 0.3
 # Bandwidth that is ample for an owner, in Mbit/s. The owner of 126 workers saturates a
 # link of 5 Mbit/s; the larger of the users' entry VMs have 100 Mbit/s.
@@ -140,7 +142,7 @@
 
 
 class Node:
-    """Application object of a process.
+    """Scheduler process with its watches, its lease and the groups that it owns.
 
     Parameters
     ----------
@@ -162,7 +164,7 @@
     owners : dict of str to GroupOwner
         Owners of the groups that this process has claimed, by group.
     direct_storage : Storage
-        Storage that is called without relaying through peers.
+        Storage that is not relayed through peers; relayed calls of peers use it.
     """
 
     def __init__(
@@ -582,11 +584,11 @@
             for group, owner in list(self.owners.items()):
                 if owner.closed.is_set():
                     self._drop_group(group)
-            wanted = self._claimable_group()
-            if wanted is not None and self._claim_watch.loaded.is_set():
+            claimable = self._claimable_group()
+            if claimable is not None and self._claim_watch.loaded.is_set():
                 await asyncio.sleep(self._claim_delay())
-                if wanted == self._claimable_group():
-                    await self._claim(wanted)
+                if claimable == self._claimable_group():
+                    await self._claim(claimable)
                 continue
             self._claims_changed.clear()
             try:
@@ -597,8 +599,8 @@
     def _claimable_group(self) -> str | None:
         """Return a group to claim, or None.
 
-        That is a group without a claim, or one claimed by an earlier incarnation of
-        this process.
+        That is a group without a claim, or one with a claim in the name of this process
+        on which it does not act, as after a restart.
         """
         if not self._lease.has_lease():
             return None
@@ -634,9 +636,9 @@
             await owner.close()
             self._drop_group(group)
             key = records.claim_key(group)
-            claim = Transaction(expected={key: owner.revision}, removes=[key])
+            removal = Transaction(expected={key: owner.revision}, removes=[key])
             try:
-                await self._storage.commit(claim)
+                await self._storage.commit(removal)
             except (StoreDown, StoreReplyLost, LeaseLost) as exc:
                 # If the claim is still stored, the next check takes the group back.
                 extra = {"group": group, "reason": exc.detail}
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -143,7 +143,7 @@
     retention_s : float
         Time for which callers may ask for a finished job.
     early_s : float
-        Passed on to `Partition`.
+        Not used.
     """
 
     run_lease_s: float
@@ -243,7 +243,7 @@
         sequence = await self._storage.get(records.sequence_key(self.group))
         self._sequence = sequence.revision if sequence is not None else 0
         suspects = await self._load_suspects()
-        silent = {
+        restricted = {
             name for name, suspect in suspects.items() if suspect.tasks is not None
         }
         progress, _ = await self._storage.scan(records.progress_prefix(self.group))
@@ -267,7 +267,7 @@
         )
         await watch.reload()
         self._stored_progress.clear()
-        await self._record_workers(set(workers) - silent)
+        await self._record_workers(set(workers) - restricted)
         self.partition.allow_starts_on(_unrestricted(self._stored_workers))
         self.loaded = True
         self._meters.count("poplaryard_owner_changes_total", "taken over")
@@ -388,8 +388,8 @@
     async def _wait_for_write(self) -> None:
         """Wait until reported ends are written, for at most `ENDS_KEPT_S` seconds.
 
-        A worker with unacknowledged ends answers a renewal at once, so the next one
-        before that would be a busy loop.
+        A worker with unacknowledged ends answers a renewal at once, so renewing again
+        before that would loop without waiting.
         """
         try:
             await asyncio.wait_for(self._progress_written.wait(), ENDS_KEPT_S)
@@ -412,9 +412,10 @@
         return stored is not None and stored.tasks is None
 
     async def _record_workers(self, added: set[str]) -> None:
-        """Store that these workers may run any task, before one is started there.
+        """Record in the store that these workers may run any task.
 
-        The next owner of the group reads the list to know which workers may have runs.
+        Tasks are started on a worker only afterwards, so that the next owner of the
+        group knows which workers may have runs.
         """
         while not all(map(self._stored_unrestricted, added)):
             if not await self._write_workers(added):
@@ -436,7 +437,8 @@
             for name in added:
                 suspect = workers.get(name, Suspect())
                 workers[name] = Suspect(suspect.address, suspect.draining)
-            # Either list may be in force until the outcome of the write is known.
+            # Until the outcome of the write is known, the store may hold the old or the
+            # new list, so tasks may be started only on workers in both.
             in_both = {name for name in workers if self._stored_unrestricted(name)}
             partition.allow_starts_on(_unrestricted(workers) & in_both)
             transaction = self._new_transaction()
@@ -588,13 +590,14 @@
             return
         if spec.job_id in partition.jobs:
             return
+        # Stored after the claim, so no earlier owner can have started the job.
         fresh = change.revision > self.revision
         if progress is None or not progress.state.final:
             self._log_job(spec, fresh)
         partition.add_job(spec, now, fresh, progress)
 
     def jobs_stored(self, stored: records.StoredJobs) -> None:
-        """Handle jobs and cancellations that a process stored, ahead of the watch."""
+        """Handle jobs and cancellations before the owner's watch reports them."""
         if self.partition is None or not self.loaded:
             return
         now = self._clock.now()
@@ -659,20 +662,20 @@
 
     async def _write_progress(self) -> bool:
         partition = t.cast(Partition, self.partition)
-        notes = partition.take_progress()
+        batch = partition.take_progress()
         began = self._clock.now()
         entries = [
             (records.progress_key(self.group, job_id), value, 0)
-            for job_id, value in notes.progress.items()
+            for job_id, value in batch.progress.items()
         ]
         size = TRANSACTION_ENTRIES - ORDER_ENTRIES
         for begin in range(0, len(entries), size):
             transaction = self._new_transaction()
             transaction.puts = entries[begin : begin + size]
             if not await self._commit(transaction):
-                partition.progress_not_written(notes)
+                partition.progress_not_written(batch)
                 return False
-        partition.progress_written(notes)
+        partition.progress_written(batch)
         self._meters.observe("poplaryard_note_seconds", self._clock.now() - began)
         self._progress_written.set()
         self._progress_written.clear()
@@ -719,6 +722,8 @@
                 return True
             present = {item.key: item.revision for item in found if item is not None}
             if present.get(records.claim_key(self.group)) == self.revision:
+                # This write failed because an earlier one, whose reply was lost, has
+                # changed the sequence key.
                 self._sequence = present.get(key, 0)
                 logger.info(
                     "earlier write was carried out", extra={"group": self.group}
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -13,6 +13,7 @@
 from tests.workload.builders import worker_info
 from tests.workload.fakes import MemoryStorage, SimWorker
 
+# Run time of every task, in seconds.
 RUN_S = 0.1
 
 
@@ -81,6 +82,7 @@
         if name == "kv-range":
             items, at = await storage.scan(query["prefix"])
             items = sorted(items, key=lambda item: item.key)
+            # Pages of two items, so that tests cover reads of several pages.
             later = [item for item in items if item.key > query.get("after", "")]
             page = {"items": [encoded(item) for item in later[:2]], "at": at}
             return 200, {**page, "truncated": len(later) > 2}
--- a/tests/platform/test_system.py
+++ b/tests/platform/test_system.py
@@ -175,7 +175,7 @@
     run_with_processes(scenario, count=1)
 
 
-def test_process_that_is_cut_off_is_not_ready():
+def test_isolated_process_is_not_ready():
     """Guards against callers that are still sent to an isolated data centre."""
 
     async def scenario(platform, first, second):
@@ -225,7 +225,7 @@
     run_with_processes(scenario, count=3, strength=(1.0, 0.1, 0.1))
 
 
-def test_owner_that_is_stopped_during_an_outage_goes_on_until_it_can_hand_over():
+def test_owner_stopped_during_an_outage_schedules_until_it_can_hand_over():
     """Guards against a pause in scheduling: no process can claim a group meanwhile."""
 
     async def scenario(platform, first, second):
--- a/tests/test_monitoring.py
+++ b/tests/test_monitoring.py
@@ -35,7 +35,7 @@
         return asyncio.run(call(self.app, "GET", path))
 
     def test_readiness(self):
-        """Guards against a load balancer that uses a process without a ticket."""
+        """Guards against a load balancer that uses a process that is not ready."""
         self.assertEqual(
             (200, 7), (self.get("/readyz")[0], self.get("/readyz")[1]["ticket"])
         )
--- a/tests/test_workers_http.py
+++ b/tests/test_workers_http.py
@@ -59,7 +59,7 @@
 
         self.run_with(scenario)
 
-    def test_faults_of_the_stand_in(self):
+    def test_lost_and_late_replies_count_as_unreachable(self):
         """Guards against a lost or late reply that is taken for a refusal."""
 
         async def scenario(host, workers, address):
--- a/tests/workload/test_owner.py
+++ b/tests/workload/test_owner.py
@@ -213,7 +213,7 @@
     asyncio.run(run())
 
 
-def test_worker_that_comes_back_is_listed_before_it_is_used():
+def test_returning_worker_is_recorded_before_it_is_used():
     """Guards against a later owner that does not know that the worker may have runs."""
 
     async def run():
