--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -151,7 +151,7 @@
         self._queues.expire(now)
         self._refuse_waiting(now)
         for job in self._parking.pop_overdue(now):
-            if job.may_have_run:
+            if job.may_run_or_have_run:
                 self._parking.wait_for_ownership(now, job)
             else:
                 self._results.refuse(now, job, Code.EXCLUSIVE_PAUSED, retry_after_s=1.0)
@@ -194,7 +194,7 @@
         if now < self._state.authority.until + HAND_BACK_S:
             return
         for job in list(self._state.jobs.values()):
-            if job.pending and not job.may_have_run and not job.cancelled:
+            if job.pending and not job.may_run_or_have_run and not job.cancelled:
                 self._results.refuse(now, job, Code.NOT_OWNER, retry_after_s=0.1)
 
     def _create_entry(self, job: Job) -> QueueEntry:
--- a/src/poplaryard/jobs.py
+++ b/src/poplaryard/jobs.py
@@ -85,7 +85,7 @@
         of one VM can end several tasks of a job.
     refusals : int
         Starts that a worker refused.
-    ran : bool
+    may_have_run : bool
         Whether an attempt has run or may have run: it was lost with its worker, or an
         earlier owner may have started it.
     fresh : bool
@@ -107,7 +107,7 @@
     attempts: set[str] = field(default_factory=set)
     failures: Counter[int] = field(default_factory=Counter)
     refusals: int = 0
-    ran: bool = False
+    may_have_run: bool = False
     fresh: bool = False
     cancelled: bool = False
     retry_at: float = 0.0
@@ -121,9 +121,9 @@
         return self.work.request_id
 
     @property
-    def may_have_run(self) -> bool:
+    def may_run_or_have_run(self) -> bool:
         """Whether the answer "not run" would be false or could become false."""
-        return self.ran or bool(self.attempts)
+        return self.may_have_run or bool(self.attempts)
 
     @property
     def stoppable(self) -> bool:
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -71,7 +71,7 @@
             self._estimator.record_usage(attempt.work, report.used)
             self._estimator.record_run_time(attempt.work, report.elapsed_s)
         if job is not None:
-            job.ran = True
+            job.may_have_run = True
         if job is not None and self._retry_if_allowed(now, job, attempt, report):
             return
         answer = self.ledger.report(now, report)
@@ -139,7 +139,7 @@
             return
         if report.task not in self.ledger.open_tasks(job.request_id):
             self._state.drop_pending(job, report.task)
-            job.ran = True
+            job.may_have_run = True
         if answer is not None:
             self._send(now, job, answer)
 
@@ -168,7 +168,7 @@
         answer = self.ledger.lost(now, attempt.attempt_id)
         if job is None:
             return
-        job.ran = True
+        job.may_have_run = True
         job.failures[attempt.task] += 1
         if answer is not None:
             self._send(now, job, answer)
@@ -193,7 +193,7 @@
     def expire(self, now: float) -> None:
         """Answer the jobs whose deadline has passed."""
         for job in self._state.overdue(now):
-            if job.may_have_run:
+            if job.may_run_or_have_run:
                 self._end_job(now, job, Code.TIMED_OUT)
             else:
                 self.refuse(now, job, Code.EXPIRED)
@@ -256,7 +256,7 @@
         """Answer a cancelled job once no attempt of it is in progress."""
         if job.attempts:
             return
-        if job.ran:
+        if job.may_have_run:
             self._end_job(now, job, Code.STOPPED)
         else:
             self.refuse(now, job, Code.CANCELLED)
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -219,7 +219,7 @@
         work, state = msg.work, self._state
         open_tasks = self._results.ledger.open_tasks(work.request_id)
         job = Job(work, msg.reply_to, now, deque(open_tasks))
-        job.ran = not state.excludes_earlier_run(now, msg.wall, work)
+        job.may_have_run = not state.excludes_earlier_run(now, msg.wall, work)
         state.add_job(job)
         self._results.attach_running(job)
         if work.deadline <= now:
