--- a/src/poplaryard/admission.py
+++ b/src/poplaryard/admission.py
@@ -15,8 +15,9 @@
 # Share of the time to its deadline that work may be expected to wait. The rest covers
 # its run time and the error of the estimate.
 _WAIT_SHARE = 0.5
-# Work of a team below this part of an equal share of the queue is not shed for a long
-# expected wait: that wait applies to the teams that fill the queue.
+# A team is small if it has less than this fraction of an equal share of the queue. Its
+# work is not shed for the expected wait of the class, because the wait is caused by the
+# teams that fill the queue and its own turn comes sooner.
 _SMALL_PART = 0.5
 # A team counts as active for this time after it submitted work.
 _ACTIVE_TEAM_S = 2.0
--- a/src/poplaryard/attempts.py
+++ b/src/poplaryard/attempts.py
@@ -56,18 +56,19 @@
             continue
         # The clock of a restarted worker may have begun at zero again.
         restarted = now > attempt.latest_start + RESTART_S
-        over = restarted or reply.clock_ms > attempt.valid_until_ms
-        (found.lost if over else found.in_doubt).append(attempt)
+        has_ended = restarted or reply.clock_ms > attempt.valid_until_ms
+        (found.lost if has_ended else found.in_doubt).append(attempt)
     return found
 
 
 def lost_after(attempt: Attempt, lost_at: float) -> float:
     """Return the time at which an attempt on an unreachable worker has ended.
 
-    At the latest, its lease was renewed at `lost_at`, or began with a start read at
-    `latest_start`. A renewal sent before `lost_at` may be read later, as long as the
-    authority under which it was sent is valid. Only work with an exclusive key must
-    wait for that too: idempotent work may run twice, and other work is not run again.
+    The lease counts from `lost_at`, or from `latest_start` if that is later and the
+    start is not confirmed. A worker may read a renewal that was sent before `lost_at`
+    later, as long as the authority under which it was sent is valid. Only work with an
+    exclusive key must wait for that too: idempotent work may run twice, and other work
+    is not run again.
     """
     begun = lost_at if attempt.confirmed else max(lost_at, attempt.latest_start)
     late_s = LEASE_TTL_S if attempt.work.exclusive_key else 0.0
--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -36,8 +36,8 @@
 # Time for which work waits before capacity is reclaimed for it from other teams.
 RECLAIM_AFTER_S = 1.0
 
-# Queued work is refused with `NOT_OWNER` this long after the authority has lapsed.
-HAND_BACK_S = 1.0
+# Time after the end of the authority at which queued work is refused with `NOT_OWNER`.
+REFUSE_AFTER_LAPSE_S = 1.0
 
 
 class Backlog:
@@ -191,7 +191,7 @@
 
     def _refuse_waiting(self, now: float) -> None:
         """Refuse work that has not run, once the authority has lapsed for a while."""
-        if now < self._state.authority.until + HAND_BACK_S:
+        if now < self._state.authority.until + REFUSE_AFTER_LAPSE_S:
             return
         for job in list(self._state.jobs.values()):
             if job.pending and not job.may_run_or_have_run and not job.cancelled:
@@ -305,9 +305,9 @@
             job.reason = self.reasons.key_taken()
             self._parking.wait_for_key(job)
             return True
-        if not work.idempotent and not job.fresh:
-            job.fresh = self._state.may_run_unreported(work.issued_at)
-            if not job.fresh:
+        if not work.idempotent and not job.no_earlier_run:
+            job.no_earlier_run = self._state.may_run_unreported(work.issued_at)
+            if not job.no_earlier_run:
                 self._results.give_up(now, job, Code.UNKNOWN_OUTCOME)
                 return True
         return False
--- a/src/poplaryard/capacity.py
+++ b/src/poplaryard/capacity.py
@@ -34,7 +34,7 @@
         """Capacity of the VM."""
 
 
-# Number of tasks that need nothing which one VM is assumed to hold.
+# Result of `count_fits` for a task that needs nothing.
 _MAX_FITS = 4096
 
 
--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -80,7 +80,7 @@
                 self._claim(now, vm)
 
     def take_over(self, now: float, takeover: Takeover) -> None:
-        """Follow a take-over, which claims each worker for the first time."""
+        """Begin the epoch of a take-over, which claims each worker the first time."""
         state = self._state
         state.takeover = takeover
         self.authority(now, Authority(state.shard, takeover.epoch, _ENDED, False))
@@ -116,7 +116,7 @@
         self._update_leaving(now, vm)
 
     def vm_gone(self, now: float, msg: VmGone) -> None:
-        """Give up a VM; it is removed once nothing can run on it any more."""
+        """Mark a VM as gone; it is removed once nothing can run on it any more."""
         vm = self._state.fleet.vms.get(msg.vm)
         if vm is not None:
             self._gone.add(vm.name)
@@ -246,7 +246,7 @@
         self._update_leaving(now, vm)
         state.room_freed = True
         if not state.awaiting_first_claim:
-            # Before that, a reconciliation would see only some of the replicas.
+            # All workers are claimed now, so the replicas are known completely.
             for pool in state.pools.values():
                 pool.changed = True
 
--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -22,7 +22,7 @@
 BACKFILL_PROBES = 16
 
 # Holds that are moved to VMs with free room in one pass.
-MOVES = 32
+MAX_MOVES_PER_PASS = 32
 
 # Shortest interval between two choices of VMs for one reservation.
 REPLAN_S = 1.0
@@ -171,7 +171,7 @@
         waiting = [
             task for task, name in job.held.items() if not _has_room(fleet.vms[name])
         ]
-        for task in waiting[:MOVES]:
+        for task in waiting[:MAX_MOVES_PER_PASS]:
             vm = fleet.index.best_fit(need, job.work.group)
             if vm is None:
                 return
--- a/src/poplaryard/jobs.py
+++ b/src/poplaryard/jobs.py
@@ -86,9 +86,9 @@
     refusals : int
         Starts that a worker refused.
     may_have_run : bool
-        Whether an attempt has run or may have run: it was lost with its worker, or an
-        earlier owner may have started it.
-    fresh : bool
+        Whether an attempt has run, or may have run because it was lost with its worker
+        or because an earlier owner may have started it.
+    no_earlier_run : bool
         Whether it is certain that no earlier owner has run any of its tasks.
     retry_at : float
         Time before which no task is started again.
@@ -108,7 +108,7 @@
     failures: Counter[int] = field(default_factory=Counter)
     refusals: int = 0
     may_have_run: bool = False
-    fresh: bool = False
+    no_earlier_run: bool = False
     cancelled: bool = False
     retry_at: float = 0.0
     held: dict[int, str] = field(default_factory=dict)
--- a/src/poplaryard/lanes.py
+++ b/src/poplaryard/lanes.py
@@ -190,9 +190,9 @@
             for item in visited:
                 heapq.heappush(self._heap, item)
         while walks:
-            rounds = [(walk, next(walk, None)) for walk in walks]
-            yield from (entry for _, entry in rounds if entry is not None)
-            walks = [walk for walk, entry in rounds if entry is not None]
+            next_entries = [(walk, next(walk, None)) for walk in walks]
+            yield from (entry for _, entry in next_entries if entry is not None)
+            walks = [walk for walk, entry in next_entries if entry is not None]
 
     def _pop(
         self, visited: list[tuple[float, int, str]]
--- a/src/poplaryard/preemption.py
+++ b/src/poplaryard/preemption.py
@@ -89,7 +89,8 @@
 
     def __init__(self, state: ShardState):
         self._state = state
-        self._watched: list[tuple[float, str]] = []
+        # Heap of the attempts being ended, by the time at which to send a stop.
+        self._stops_due: list[tuple[float, str]] = []
 
     def make_room(
         self,
@@ -139,8 +140,8 @@
 
     def tick(self, now: float) -> None:
         """Stop the attempts whose checkpoint or stop has taken too long."""
-        while self._watched and self._watched[0][0] <= now:
-            attempt = self._state.attempts.get(heapq.heappop(self._watched)[1])
+        while self._stops_due and self._stops_due[0][0] <= now:
+            attempt = self._state.attempts.get(heapq.heappop(self._stops_due)[1])
             if attempt is not None:
                 self._stop(now, attempt, StopMode.STOP, STOP_AGAIN_S)
 
@@ -177,4 +178,4 @@
         self, now: float, attempt: Attempt, mode: StopMode, repeat_after_s: float
     ) -> None:
         self._state.stop(now, attempt, mode)
-        heapq.heappush(self._watched, (now + repeat_after_s, attempt.attempt_id))
+        heapq.heappush(self._stops_due, (now + repeat_after_s, attempt.attempt_id))
--- a/src/poplaryard/queues.py
+++ b/src/poplaryard/queues.py
@@ -129,8 +129,8 @@
         tiers = [key for key in sorted(self._tiers) if self._tiers[key]]
         found: list[QueueEntry] = []
         for key in tiers:
-            # A tier gets half of the rest, so that work that fits nowhere does not
-            # fill the whole result.
+            # Each tier but the last gets half of what is left of `limit`, so that work
+            # that fits nowhere does not fill the whole result.
             rest = limit - len(found)
             budget = rest if key == tiers[-1] else math.ceil(rest / 2)
             found += itertools.islice(self._walk_tier(now, key, budget), budget)
@@ -212,10 +212,10 @@
                 tier.move_to_end(lane)
         walks = [tier[lane].walk() for lane in lanes if self._lane_may_start(now, lane)]
         while walks:
-            rounds = [(walk, _next_live(walk, now)) for walk in walks]
-            live = [entry for _, entry in rounds if entry is not None]
+            next_entries = [(walk, _next_live(walk, now)) for walk in walks]
+            live = [entry for _, entry in next_entries if entry is not None]
             yield from sorted(live, key=lambda entry: entry.sequence)
-            walks = [walk for walk, entry in rounds if entry is not None]
+            walks = [walk for walk, entry in next_entries if entry is not None]
 
     def _lane_may_start(self, now: float, lane: Lane) -> bool:
         if not lane.long or lane.priority is Priority.URGENT:
--- a/src/poplaryard/quota.py
+++ b/src/poplaryard/quota.py
@@ -9,7 +9,7 @@
 __all__ = ["Quotas"]
 
 # Share of the capacity that borrowers leave free while a team below its share waits.
-# They may use the rest, since that team may wait for something other than capacity.
+# They may use all other capacity, since that team may wait for something else.
 _BORROWING_RESERVE = 0.05
 
 
--- a/src/poplaryard/reserve.py
+++ b/src/poplaryard/reserve.py
@@ -38,10 +38,11 @@
 class Reserve:
     """Limits on long work in one resource pool (a target or a VM group).
 
-    Long work that cannot be checkpointed may hold what the recent peak demand of short
-    work leaves, but at least a tenth of the pool and at most all but the policy's share
-    for short work. A fixed share alone fails when the demand of short work exceeds it:
-    long work then fills the rest and does not release it for a long time.
+    For long work that cannot be checkpointed, the larger of two shares is kept free:
+    the policy's share for short work, and the recent peak demand of short work with a
+    margin. It may always hold a tenth of the pool. The policy's fixed share alone fails
+    when the demand of short work exceeds it: long work then fills the rest and does not
+    release it for a long time.
 
     Long work that can be checkpointed may use the rest except for a small free share.
     It is checkpointed when short work needs that share.
--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -126,7 +126,7 @@
         return state.out
 
     def take_over(self, now: float, takeover: Takeover) -> None:
-        """Follow a take-over, which decides which workers to claim and what to serve.
+        """Use a take-over to decide which workers to claim and what may be served.
 
         Call this before the first `Authority` of its epoch. Without a take-over,
         exclusive work waits until every VM of the shard was claimed.
--- a/src/poplaryard/shards.py
+++ b/src/poplaryard/shards.py
@@ -39,7 +39,7 @@
 # Answers kept for look-ups.
 ANSWERS_KEPT = 20_000
 # Messages handled before other tasks of the event loop run again.
-SLICE = 128
+MESSAGES_PER_BATCH = 128
 # Interval of ticks while requests wait or were submitted recently, and otherwise.
 BUSY_TICK_S = 0.1
 IDLE_TICK_S = 0.5
@@ -115,9 +115,7 @@
     def take_over(
         self, taken: ShardTaken, vms: t.Iterable[str], listed_since: float
     ) -> None:
-        """Follow the take-over that gave this process the shard.
-
-        Call this before `start`.
+        """Begin the take-over of the shard; call this before `start`.
 
         Parameters
         ----------
@@ -229,7 +227,7 @@
             await self._wake.wait()
             self._wake.clear()
             while self._inbox:
-                for _ in range(min(SLICE, len(self._inbox))):
+                for _ in range(min(MESSAGES_PER_BATCH, len(self._inbox))):
                     self._handle(self._inbox.popleft())
                 await asyncio.sleep(0)
 
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -56,7 +56,7 @@
     Attributes
     ----------
     takeover : Takeover or None
-        Take-over that began the current epoch, or None if none is followed.
+        Take-over that began the current epoch; None if it is not tracked.
     awaiting_first_claim : set of str
         VMs that have not been claimed since the current epoch began.
     out : list of Message
@@ -176,7 +176,7 @@
         self.audit_attempt(mode.value, attempt)
 
     def end(self, now: float, attempt: Attempt) -> Job | None:
-        """Release what an ended attempt held; return its job if that is open."""
+        """Release what an ended attempt held; return its job unless it is answered."""
         self.attempts.end(attempt.attempt_id)
         self.on_end(now, attempt)
         self.room_freed = True
@@ -220,7 +220,7 @@
             heapq.heappush(self._deadlines, (job.work.deadline, job.request_id))
 
     def overdue(self, now: float) -> list[Job]:
-        """Return the open jobs whose deadline has passed since the last call."""
+        """Return the unanswered jobs whose deadline has passed since the last call."""
         found = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, request_id = heapq.heappop(self._deadlines)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -51,7 +51,7 @@
 
 
 def test_hold_hides_room_that_is_not_free_yet():
-    """Guards against small work taking what a wide gang waits for."""
+    """Guards against small work taking the capacity that a gang waits for."""
     fleet = fleet_of(1, SHAPES[:1])
     vm = fleet.vms["dc1-vm000"]
     fleet.charge(vm, "a", Resources(12_000, 1024, 0))
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -34,7 +34,7 @@
     assert len(gang_starts(shard, "g1")) == 4
 
 
-def test_small_work_does_not_starve_a_wide_gang():
+def test_small_work_does_not_starve_a_gang_of_many_tasks():
     """Guards against a steady stream of small tasks keeping every VM half full."""
     shard = Shard(batch_config(vms=3))
     for number in range(6):
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -9,7 +9,7 @@
     return batch(request_id, priority=Priority.URGENT, **fields)
 
 
-def test_checkpointable_work_gives_way_and_runs_again():
+def test_checkpointable_work_is_preempted_and_runs_again():
     shard = Shard(batch_config())
     shard.send(batch("b1", checkpointable=True))
     shard.send(urgent())
--- a/tests/test_queues.py
+++ b/tests/test_queues.py
@@ -37,7 +37,7 @@
         self.assertEqual(["r3", "r2", "r1"], ids(self.queues.candidates(3.0, 10)))
 
     def test_other_lane_is_tried_when_the_head_does_not_fit(self):
-        """Guards against one wide need filling the whole candidate list."""
+        """Guards against entries of one large need filling the candidate list."""
         self.push(*(entry(n, need=Resources(900, 1, 0)) for n in range(20)))
         self.push(entry(20, need=Resources(1, 1, 0)))
         self.assertIn("r20", ids(self.queues.candidates(20.0, 4)))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -125,7 +125,7 @@
     assert not shard.starts
 
 
-def test_claim_reply_that_a_later_report_overtook_charges_nothing():
+def test_outdated_claim_reply_charges_nothing():
     """Guards against an ended attempt being adopted from an outdated reply."""
     shard = Shard(batch_config())
     shard.send(batch("b1"))
@@ -186,7 +186,7 @@
     assert shard.codes() == [Code.EXCLUSIVE_PAUSED]
 
 
-def test_work_is_not_answered_not_run_while_a_worker_of_the_old_owner_is_unclaimed():
+def test_expired_work_is_answered_timed_out_while_an_old_worker_is_unclaimed():
     """Guards against "expired, not run" for work that an unclaimed worker has run."""
     shard = Shard(batch_config())
     shard.claimable = False
@@ -252,7 +252,7 @@
     assert "b1" in {s.work.request_id for s in starts}
 
 
-def test_waiting_work_is_handed_back_when_the_authority_lapses():
+def test_waiting_work_is_refused_as_not_owner_when_the_authority_lapses():
     shard = Shard(batch_config(), until=10.0)
     shard.send(batch("b1"))
     shard.send(batch("b2"))
