--- a/src/poplaryard/admission.py
+++ b/src/poplaryard/admission.py
@@ -16,8 +16,8 @@
 # its run time and the error of the estimate.
 _WAIT_SHARE = 0.5
 # A team is small if it has less than this fraction of an equal share of the queue. Its
-# work is not shed for the expected wait of the class, because the wait is caused by the
-# teams that fill the queue and its own turn comes sooner.
+# work is not shed for the expected wait of the class, because that is the wait of the
+# teams that fill the queue.
 _SMALL_PART = 0.5
 # A team counts as active for this time after it submitted work.
 _ACTIVE_TEAM_S = 2.0
