--- a/src/poplaryard/compaction.py
+++ b/src/poplaryard/compaction.py
@@ -82,6 +82,7 @@
         return False
 
     async def _put_in_force(self, number: int, parts: int) -> bool:
+        """Let the head refer to a snapshot, and return whether it does."""
         for _ in range(_ROUNDS):
             head, entry = await read_head(self._store)
             if head.snapshot >= number or entry is None:
@@ -118,8 +119,8 @@
     if ticket_number(suffix) > head.snapshot:
         return False
     ref = head.objects.get(key)
-    # A ticket accepted after the snapshot may have planned a number before it, and so
-    # refer to a value with such a number, which the snapshot lacks.
+    # A ticket accepted after the snapshot may refer to a value that was written under
+    # an earlier planned number. The snapshot lacks this value.
     in_force = ref is not None and object_key(key, ref) == entry.key
     return not (in_force and ticket_number(t.cast(str, ref)) > head.snapshot)
 
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -137,9 +137,9 @@
         }
         # Removals of objects that this process never held are included, since the state
         # is the source of deltas for peers that may hold them.
-        for key, at in head.removed.items():
-            if at > self.state.number:
-                found[key] = (f"{at}-", None)
+        for key, number in head.removed.items():
+            if number > self.state.number:
+                found[key] = (f"{number}-", None)
         if head.snapshot > self.state.number:
             found |= await self._read_snapshot(head, wanted)
         wanted = {key: ref for key, ref in wanted.items() if key not in found}
@@ -153,6 +153,7 @@
     async def _read_snapshot(
         self, head: Head, wanted: t.Mapping[str, str]
     ) -> _ObjectValues:
+        """Return the wanted objects that are found in the snapshot of a head."""
         keys = [snapshot_key(head.snapshot, n) for n in range(head.snapshot_parts)]
         parts = await self._get_all(keys)
         found: _ObjectValues = {}
@@ -167,6 +168,7 @@
         return found
 
     async def _read_objects(self, wanted: t.Mapping[str, str]) -> _ObjectValues | None:
+        """Read objects by key and reference; return None if one is missing."""
         keys = {key: object_key(key, ref) for key, ref in wanted.items()}
         if len(keys) >= _SCAN_MIN_OBJECTS:
             entries = await self._store.scan("config/object/")
@@ -199,6 +201,7 @@
     size = 0
     for key, ref in sorted(state.refs.items()):
         value = tickets.encode_object(tickets.lookup(state.config, key))
+        # The constant allows for the JSON punctuation of an item.
         length = tickets.json_size(value) + len(key) + len(ref) + 16
         if size + length > max_bytes and parts[-1]:
             parts.append({})
