--- a/src/poplaryard/bench.py
+++ b/src/poplaryard/bench.py
@@ -1,4 +1,4 @@
-"""Benchmarks; each one's module is imported only when it is called."""
+"""Command group of the benchmarks; each module is imported on first use."""
 
 import importlib
 
--- a/src/poplaryard/bench_baselines.py
+++ b/src/poplaryard/bench_baselines.py
@@ -10,14 +10,15 @@
 
 __all__ = ["BASELINES", "FirstFit", "LeastLoaded", "RandomFeasible"]
 
+# Resources of a task and number of tasks.
 _Shape: t.TypeAlias = tuple[Resources, int]
 
 
 class FirstFit:
-    """Jobs in arrival order, each on the first VM with room.
+    """Starts jobs in arrival order, each on the first VM with room.
 
-    A job that does not fit is passed over; queues have no bound, and expired work is
-    run.
+    A job that does not fit is skipped until capacity is free. Queues are unbounded, and
+    jobs run even after their deadline.
     """
 
     requeues = False
@@ -33,19 +34,19 @@
         self._queues.setdefault(shape, OrderedDict())[job.work.request_id] = job
 
     def cancel(self, now: float, job: Job) -> None:
-        """Drop a job if it waits."""
+        """Drop a job if it is waiting."""
         shape = (job.work.need, job.work.tasks)
         if self._queues[shape].pop(job.work.request_id, None):
             self._cluster.drop(job, "cancelled")
 
-    def ended(self, now: float, run: Run, state: AttemptState) -> None:
-        """Ignore the end of a task."""
+    def task_ended(self, now: float, run: Run, state: AttemptState) -> None:
+        """Do nothing; the next step uses the freed capacity."""
 
     def step(self, now: float, tick: bool) -> None:
-        """Start jobs until none fits."""
+        """Start waiting jobs until none fits."""
         blocked: set[_Shape] = set()
         while (shape := self._next_shape(blocked)) is not None:
-            hosts = self._hosts(*shape)
+            hosts = self._choose_hosts(*shape)
             if len(hosts) < shape[1]:
                 blocked.add(shape)
                 continue
@@ -63,39 +64,40 @@
     def _take(self, shape: _Shape) -> Job:
         return self._queues[shape].popitem(last=False)[1]
 
-    def _hosts(self, need: Resources, tasks: int) -> list[Host]:
-        """Return one VM per task, fewer if they do not all fit."""
+    def _choose_hosts(self, need: Resources, tasks: int) -> list[Host]:
+        """Return one VM per task, or fewer if not all tasks fit."""
         chosen: list[Host] = []
-        for host in self._order(need):
-            room = _room(host, need)
+        for host in self._candidates(need):
+            room = _tasks_that_fit(host, need)
             chosen += [host] * min(room, tasks - len(chosen))
             if len(chosen) == tasks:
                 break
         return chosen
 
-    def _order(self, need: Resources) -> t.Iterable[Host]:
+    def _candidates(self, need: Resources) -> t.Iterable[Host]:
+        """Return the VMs in the order in which they are tried."""
         return self._cluster.hosts
 
 
 class LeastLoaded(FirstFit):
-    """Jobs in arrival order, each on the VM with the smallest used share."""
+    """Starts jobs in arrival order, each on the VM with the smallest used share."""
 
-    def _order(self, need: Resources) -> t.Iterable[Host]:
+    def _candidates(self, need: Resources) -> t.Iterable[Host]:
         return sorted(self._cluster.hosts, key=_used_share)
 
 
 class RandomFeasible(FirstFit):
-    """A random waiting job that fits, on random VMs with room."""
+    """Starts random waiting jobs that fit, on random VMs with room."""
 
     def __init__(self, cluster: Cluster, rng: random.Random):
         super().__init__(cluster, rng)
-        self._keys: dict[_Shape, list[str]] = {}
+        self._request_ids: dict[_Shape, list[str]] = {}
 
     def arrive(self, now: float, job: Job) -> None:
         """Queue a job."""
         super().arrive(now, job)
         shape = (job.work.need, job.work.tasks)
-        self._keys.setdefault(shape, []).append(job.work.request_id)
+        self._request_ids.setdefault(shape, []).append(job.work.request_id)
 
     def _next_shape(self, blocked: set[_Shape]) -> _Shape | None:
         shapes = [s for s, q in self._queues.items() if q and s not in blocked]
@@ -105,21 +107,23 @@
         return self._rng.choices(shapes, weights)[0]
 
     def _take(self, shape: _Shape) -> Job:
-        keys, queue = self._keys[shape], self._queues[shape]
+        request_ids, queue = self._request_ids[shape], self._queues[shape]
+        # Cancelled jobs are still listed here but no longer queued.
         while True:
-            index = self._rng.randrange(len(keys))
-            keys[index], keys[-1] = keys[-1], keys[index]
-            job = queue.pop(keys.pop(), None)
+            index = self._rng.randrange(len(request_ids))
+            request_ids[index], request_ids[-1] = request_ids[-1], request_ids[index]
+            job = queue.pop(request_ids.pop(), None)
             if job is not None:
                 return job
 
-    def _order(self, need: Resources) -> t.Iterable[Host]:
+    def _candidates(self, need: Resources) -> t.Iterable[Host]:
         hosts = [host for host in self._cluster.hosts if need.fits_in(host.free)]
         self._rng.shuffle(hosts)
         return hosts
 
 
-def _room(host: Host, need: Resources) -> int:
+def _tasks_that_fit(host: Host, need: Resources) -> int:
+    """Return how many tasks of the given size fit in the free capacity."""
     pairs = (
         (host.free.cpu_m, need.cpu_m),
         (host.free.mem_mb, need.mem_mb),
--- a/src/poplaryard/bench_blackhole.py
+++ b/src/poplaryard/bench_blackhole.py
@@ -6,7 +6,7 @@
 from .bench_baselines import BASELINES
 from .bench_driver import Host, Job, run
 from .bench_figures import figures
-from .bench_shard import shard
+from .bench_shard import shard_strategy
 from .configuration import Configuration
 from .messages import Work, WorkKind
 from .resources import Resources
@@ -33,7 +33,7 @@
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
     """Return the figures of each fault and strategy."""
-    strategies = {"poplaryard": shard(Configuration(number=1)), **BASELINES}
+    strategies = {"poplaryard": shard_strategy(Configuration(number=1)), **BASELINES}
     return [
         _row(case, name, make, seed)
         for case in _CASES
--- a/src/poplaryard/bench_cancel.py
+++ b/src/poplaryard/bench_cancel.py
@@ -7,7 +7,7 @@
 from .bench_baselines import BASELINES
 from .bench_driver import Host, Job, run
 from .bench_figures import figures
-from .bench_shard import shard
+from .bench_shard import shard_strategy
 from .configuration import Configuration
 from .messages import Work, WorkKind
 from .resources import Resources
@@ -27,7 +27,7 @@
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
     """Return the figures of the other team's jobs with and without the wave."""
-    ours: t.Any = shard(Configuration(number=1))
+    ours: t.Any = shard_strategy(Configuration(number=1))
     found = []
     for case, wave in _CASES.items():
         for name, make in {"poplaryard": ours, **BASELINES}.items():
--- a/src/poplaryard/bench_crest.py
+++ b/src/poplaryard/bench_crest.py
@@ -8,7 +8,7 @@
 from .bench_baselines import BASELINES
 from .bench_driver import Host, Job, run
 from .bench_figures import figures
-from .bench_shard import shard
+from .bench_shard import shard_strategy
 from .configuration import Configuration, ServiceSpec
 from .lanes import SLOT
 from .messages import Work, WorkKind
@@ -39,7 +39,7 @@
 def rows(seed: int) -> list[dict[str, t.Any]]:
     """Return the figures of the swing, then of each steady load, per strategy."""
     found = []
-    for name, make in {"poplaryard": shard(_config()), **BASELINES}.items():
+    for name, make in {"poplaryard": shard_strategy(_config()), **BASELINES}.items():
         found += _swing(name, make, seed)
         found += _steady(name, make, seed)
     return found
--- a/src/poplaryard/bench_driver.py
+++ b/src/poplaryard/bench_driver.py
@@ -1,6 +1,6 @@
-"""Virtual-time driver that feeds arrivals and end times to a scheduling strategy.
+"""Discrete-event simulator that runs a workload under a scheduling strategy.
 
-It models capacity slots only: no network, no lost messages, no worker start-up time.
+It models VM capacity only: no network, no lost messages, no worker start-up time.
 """
 
 import heapq
@@ -18,21 +18,26 @@
 _TICK_S = 0.1
 _CHECKPOINT_S = 0.2
 _MAX_ATTEMPTS = 3
+# Delay before the driver submits a failed job again.
 _RETRY_S = 0.05
 
 
 @dataclass(slots=True)
 class Job:
-    """One job of a workload, with its true run time and what became of it.
+    """One job of a workload and its outcome; times are in seconds of virtual time.
 
     Attributes
     ----------
     run_s : float
-        True run time of each task in seconds; `work.declared_s` is the declared one.
+        True run time of each task; `work.declared_s` is the declared one.
     label : str
         Group of jobs whose figures are reported together.
     fails : bool
-        Whether the job fails wherever it runs.
+        Whether the job fails on every VM.
+    sequence : int
+        Position of the job in the workload.
+    remaining_s : float
+        Run time left after the last checkpoint, or 0 if there was none.
     """
 
     work: Work
@@ -46,21 +51,21 @@
     ended: float | None = None
     ok: bool = False
     attempts: int = 0
-    left_s: float = 0.0
-    preempted: int = 0
-    ended_tasks: int = 0
+    remaining_s: float = 0.0
+    preemptions: int = 0
+    succeeded_tasks: int = 0
 
 
 @dataclass(slots=True)
 class Host:
-    """Capacity of one VM, with the fault it has.
+    """One VM: its capacity and, for a limited time, a fault.
 
     Attributes
     ----------
     slowdown : float
-        Factor on run times.
+        Factor on the run times of tasks started during the fault.
     fails_after_s : float or None
-        Time after which every task fails, or None for a healthy VM.
+        Time after which tasks started during the fault fail, or None if they do not.
     fault_from, fault_until : float
         Times at which the fault begins and ends.
     """
@@ -76,12 +81,22 @@
 
 @dataclass(slots=True)
 class Run:
-    """One task on a VM; `key` is for the strategy's use."""
+    """One task on a VM.
+
+    Attributes
+    ----------
+    succeeds : bool
+        Whether the task succeeds, as decided at its start.
+    key : str
+        Identifier set and read by the strategy only.
+    stopping : bool
+        Whether a checkpoint is being written.
+    """
 
     job: Job
     host: Host
-    at: float
-    ok: bool
+    started: float
+    succeeds: bool
     number: int
     key: str = ""
     stopping: bool = False
@@ -93,20 +108,20 @@
     Attributes
     ----------
     requeues : bool
-        Whether it queues checkpointed and failed jobs itself, or drops them; if not,
-        they arrive again.
+        Whether the strategy itself requeues or drops checkpointed and failed jobs;
+        otherwise the driver submits them again.
     """
 
     requeues: bool
 
     def arrive(self, now: float, job: Job) -> None:
-        """Take a job that arrives or returns."""
+        """Accept a new or resubmitted job."""
 
     def cancel(self, now: float, job: Job) -> None:
-        """Take the cancellation of a job."""
+        """Cancel a job that has not started."""
 
-    def ended(self, now: float, run: Run, state: AttemptState) -> None:
-        """Take the end of one task on a VM, whose capacity is free again."""
+    def task_ended(self, now: float, run: Run, state: AttemptState) -> None:
+        """Handle the end of one task, whose capacity is already free again."""
 
     def step(self, now: float, tick: bool) -> None:
         """Start, drop or preempt jobs through the cluster."""
@@ -114,14 +129,20 @@
 
 @dataclass(slots=True)
 class Cluster:
-    """VMs and running jobs; refuses to exceed a VM's capacity.
+    """VMs, running tasks and pending events of a simulation.
 
     Attributes
     ----------
+    waiting : int
+        Number of waiting jobs.
     dropped : dict of str to int
-        Jobs dropped by reason.
-    used_area, waiting_s : float
-        Integral of the used share over the time in which work waits, and that time.
+        Number of dropped jobs by reason.
+    service : dict of str to float
+        Integral of the used dominant share over time, by team.
+    waiting_s : float
+        Total time in seconds during which at least one job waits.
+    used_share_s : float
+        Integral of the used dominant share over that time.
     """
 
     hosts: list[Host]
@@ -131,9 +152,9 @@
     runs: dict[int, Run] = field(default_factory=dict)
     dropped: dict[str, int] = field(default_factory=dict)
     service: dict[str, float] = field(default_factory=dict)
-    used_area: float = 0.0
+    used_share_s: float = 0.0
     waiting_s: float = 0.0
-    _at: float = 0.0
+    _accounted_until: float = 0.0
     _events: list[tuple[float, int, str, t.Any]] = field(default_factory=list)
     _counter: t.Iterator[int] = field(default_factory=itertools.count)
 
@@ -143,7 +164,13 @@
             self.total = self.total + host.capacity
 
     def start(self, now: float, job: Job, hosts: t.Sequence[Host]) -> list[Run]:
-        """Start one task of a job on each of `hosts` and return their runs."""
+        """Start one task of a job on each of `hosts` and return their runs.
+
+        Raises
+        ------
+        AssertionError
+            If a task does not fit in the free capacity of its VM.
+        """
         if job.started is None:
             job.started = now
         job.attempts += 1
@@ -156,30 +183,30 @@
             raise AssertionError(f"{host.name} has no room for {need}")
         host.free = host.free - need
         self.used = self.used + need
-        run_s, ok = self._fate(now, job, host)
-        run = Run(job, host, now, ok, next(self._counter))
+        run_s, succeeds = self._outcome(now, job, host)
+        run = Run(job, host, now, succeeds, next(self._counter))
         self.runs[run.number] = run
         self.schedule(now + run_s, "end", run)
         return run
 
     def drop(self, job: Job, reason: str) -> None:
-        """Answer a waiting job without running it."""
+        """Record that a waiting job was dropped and for what reason."""
         self.waiting -= 1
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
 
     def preempt(self, now: float, run: Run) -> None:
-        """Checkpoint a task; it ends shortly and is to be queued again."""
+        """Begin a checkpoint; the task ends once it is written and must run again."""
         if run.number in self.runs and not run.stopping:
             run.stopping = True
-            run.job.preempted += 1
+            run.job.preemptions += 1
             self.schedule(now + _CHECKPOINT_S, "checkpointed", run)
 
     def schedule(self, at: float, kind: str, item: t.Any) -> None:
-        """Add an event."""
+        """Add an event at the time `at`."""
         heapq.heappush(self._events, (at, next(self._counter), kind, item))
 
     def pop(self) -> tuple[float, str, t.Any] | None:
-        """Take the next event and account the time until it."""
+        """Remove and return the next event, or None, and account the time up to it."""
         if not self._events:
             return None
         at, _, kind, item = heapq.heappop(self._events)
@@ -187,22 +214,23 @@
         return at, kind, item
 
     def busy(self) -> bool:
-        """Tell whether anything waits, runs or is still to come."""
+        """Return whether any job waits, any task runs or any event is pending."""
         return self.waiting > 0 or bool(self.runs or self._events)
 
     def release(self, now: float, run: Run) -> bool:
-        """Free what a run held; return False if it has ended before."""
+        """Free the capacity of a run; return False if the run has already ended."""
         if self.runs.pop(run.number, None) is None:
             return False
         need, team = run.job.work.need, run.job.work.team
         run.host.free = run.host.free + need
         self.used = self.used - need
-        amount = need.dominant_share(self.total) * (now - run.at)
+        amount = need.dominant_share(self.total) * (now - run.started)
         self.service[team] = self.service.get(team, 0.0) + amount
         return True
 
-    def _fate(self, now: float, job: Job, host: Host) -> tuple[float, bool]:
-        run_s = job.left_s or job.run_s
+    def _outcome(self, now: float, job: Job, host: Host) -> tuple[float, bool]:
+        """Return the run time of a task started now and whether it succeeds."""
+        run_s = job.remaining_s or job.run_s
         if not host.fault_from <= now < host.fault_until:
             return run_s, not job.fails
         if host.fails_after_s is not None:
@@ -211,21 +239,23 @@
 
     def _account(self, at: float) -> None:
         if self.waiting:
-            self.used_area += self.used.dominant_share(self.total) * (at - self._at)
-            self.waiting_s += at - self._at
-        self._at = at
+            self.used_share_s += self.used.dominant_share(self.total) * (
+                at - self._accounted_until
+            )
+            self.waiting_s += at - self._accounted_until
+        self._accounted_until = at
 
 
 def run(
     jobs: t.Sequence[Job],
     hosts: list[Host],
-    make: t.Callable[[Cluster, random.Random], Strategy],
+    make_strategy: t.Callable[[Cluster, random.Random], Strategy],
     seed: int,
     until: float = math.inf,
 ) -> Cluster:
-    """Run a workload to its end, or to the time `until`, and return the cluster."""
+    """Run a workload until its end or the time `until`, and return the cluster."""
     cluster = Cluster(hosts)
-    strategy = make(cluster, random.Random(seed))
+    strategy = make_strategy(cluster, random.Random(seed))
     for sequence, job in enumerate(jobs):
         job.sequence = sequence
         cluster.schedule(job.arrived, "arrive", job)
@@ -234,14 +264,14 @@
     cluster.schedule(_TICK_S, "tick", None)
     while (event := cluster.pop()) and event[0] <= until:
         now, kind, item = event
-        _apply(cluster, strategy, now, kind, item)
+        _handle_event(cluster, strategy, now, kind, item)
         strategy.step(now, kind == "tick")
         if kind == "tick" and cluster.busy():
             cluster.schedule(now + _TICK_S, "tick", None)
     return cluster
 
 
-def _apply(
+def _handle_event(
     cluster: Cluster, strategy: Strategy, now: float, kind: str, item: t.Any
 ) -> None:
     if kind == "arrive":
@@ -250,28 +280,32 @@
     elif kind == "cancel" and item.started is None:
         strategy.cancel(now, item)
     elif kind == "end" and cluster.release(now, item):
-        _end(cluster, strategy, now, item)
+        _handle_end(cluster, strategy, now, item)
     elif kind == "checkpointed" and cluster.release(now, item):
-        _checkpointed(cluster, strategy, now, item)
+        _handle_checkpoint(cluster, strategy, now, item)
 
 
-def _end(cluster: Cluster, strategy: Strategy, now: float, run: Run) -> None:
+def _handle_end(cluster: Cluster, strategy: Strategy, now: float, run: Run) -> None:
     job = run.job
-    state = AttemptState.SUCCEEDED if run.ok else AttemptState.FAILED
-    cluster.waiting += strategy.requeues and not run.ok
-    strategy.ended(now, run, state)
-    job.ended_tasks += run.ok
-    if job.ended_tasks == job.work.tasks:
+    state = AttemptState.SUCCEEDED if run.succeeds else AttemptState.FAILED
+    cluster.waiting += strategy.requeues and not run.succeeds
+    strategy.task_ended(now, run, state)
+    job.succeeded_tasks += run.succeeds
+    if job.succeeded_tasks == job.work.tasks:
         job.ended, job.ok = now, True
-    elif not (run.ok or strategy.requeues) and job.attempts < _MAX_ATTEMPTS:
+    elif not (run.succeeds or strategy.requeues) and job.attempts < _MAX_ATTEMPTS:
         cluster.schedule(now + _RETRY_S, "arrive", job)
 
 
-def _checkpointed(cluster: Cluster, strategy: Strategy, now: float, run: Run) -> None:
+def _handle_checkpoint(
+    cluster: Cluster, strategy: Strategy, now: float, run: Run
+) -> None:
     job = run.job
-    job.left_s = (job.left_s or job.run_s) - (now - run.at) + _CHECKPOINT_S
+    job.remaining_s = (
+        (job.remaining_s or job.run_s) - (now - run.started) + _CHECKPOINT_S
+    )
     if strategy.requeues:
         cluster.waiting += 1
     else:
         cluster.schedule(now, "arrive", job)
-    strategy.ended(now, run, AttemptState.CHECKPOINTED)
+    strategy.task_ended(now, run, AttemptState.CHECKPOINTED)
--- a/src/poplaryard/bench_placement.py
+++ b/src/poplaryard/bench_placement.py
@@ -210,9 +210,9 @@
         bench = SchedulerBench(_vms(vms, SHAPES), 4 * vms, seed)
         if kind == "batch":
             needs = itertools.islice(_needs(rng, gpus=True), tasks)
-            bench.run(bench.batch(needs))
+            bench.run(bench.batch_work(needs))
         else:
-            bench.run(bench.requests(tasks))
+            bench.run(bench.request_work(tasks))
         total_ns = sum(bench.submit_ns) + bench.other_ns
         elapsed = sorted(bench.submit_ns)
         found[kind] = {
--- a/src/poplaryard/bench_policy.py
+++ b/src/poplaryard/bench_policy.py
@@ -1,4 +1,4 @@
-"""Bench of the policy objects against baselines, under virtual time."""
+"""Benchmarks of the scheduling policies against baselines, in virtual time."""
 
 import importlib
 import json
@@ -11,7 +11,7 @@
 
 __all__ = ["policy", "run_bench"]
 
-# Bench name to module; each has `rows(seed)`.
+# Benchmark name to module; each module has a function `rows(seed)`.
 _BENCHES = {
     "stragglers": "bench_stragglers",
     "crest": "bench_crest",
@@ -23,7 +23,7 @@
 
 
 def run_bench(name: str, seed: int) -> dict[str, t.Any]:
-    """Run one bench and return its result; the same seed gives the same result."""
+    """Run one benchmark and return its result, which depends only on the seed."""
     module = importlib.import_module(f"poplaryard.{_BENCHES[name]}")
     return {"bench": name, "seed": seed, "rows": module.rows(seed)}
 
@@ -34,13 +34,13 @@
 @click.option(
     "--json", "output", type=click.File("w"), help="Write the result as JSON."
 )
-@click.option("--ours", is_flag=True, help="Leave the baselines out, for a sweep.")
+@click.option("--ours", is_flag=True, help="Run without the baselines.")
 @click.option(
     "--set",
     "overrides",
     multiple=True,
     metavar="MODULE.NAME=VALUE",
-    help="Replace a numeric constant for a sweep.",
+    help="Override a numeric constant, for example in a parameter sweep.",
 )
 def policy(
     name: str,
@@ -49,9 +49,9 @@
     ours: bool,
     overrides: tuple[str, ...],
 ) -> None:
-    """Compare the policy objects with baselines."""
+    """Compare the scheduling policies with baselines."""
     for override in overrides:
-        _replace(override)
+        _override_constant(override)
     if ours:
         BASELINES.clear()
     result = run_bench(name, seed)
@@ -62,7 +62,7 @@
     output.write("\n")
 
 
-def _replace(override: str) -> None:
+def _override_constant(override: str) -> None:
     path, _, value = override.partition("=")
     module_name, _, constant = path.partition(".")
     module = importlib.import_module(f"poplaryard.{module_name}")
--- a/src/poplaryard/bench_quota.py
+++ b/src/poplaryard/bench_quota.py
@@ -8,7 +8,7 @@
 from .bench_baselines import BASELINES
 from .bench_driver import Host, Job, run
 from .bench_figures import figures
-from .bench_shard import shard
+from .bench_shard import shard_strategy
 from .configuration import Configuration, TeamSpec
 from .messages import Work, WorkKind
 from .quota import Quotas
@@ -37,7 +37,7 @@
     for count in _TEAM_COUNTS:
         print(f"{count} teams: {decision_us(count, seed):.2f} us", file=sys.stderr)
         teams = {f"team{number}": TeamSpec(f"team{number}") for number in range(count)}
-        ours: t.Any = shard(Configuration(number=1, teams=teams))
+        ours: t.Any = shard_strategy(Configuration(number=1, teams=teams))
         for name, make in {"poplaryard": ours, **BASELINES}.items():
             jobs = _jobs(random.Random(seed), count)
             hosts = [Host(f"vm{n:03d}", _CAPACITY) for n in range(_HOSTS)]
--- a/src/poplaryard/bench_scheduler.py
+++ b/src/poplaryard/bench_scheduler.py
@@ -1,4 +1,4 @@
-"""Cost of the whole shard scheduler, for `bench placement`."""
+"""Processing time of the whole `ShardScheduler`, for `bench placement`."""
 
 import itertools
 import random
@@ -31,28 +31,39 @@
 
 __all__ = ["SchedulerBench"]
 
-# Tasks that end in one report of a worker.
+# Number of tasks that end at the same moment.
 REPORT_BATCH = 8
 
 _WAVE_NEED = Resources(1000, 1024, 0)
 
 
 class SchedulerBench:
-    """Feeds a shard with work and answers for its workers.
+    """Submits work to a shard scheduler and simulates its workers.
 
-    The time of each message's handling is measured; making the messages is not.
+    Only the handling of messages is timed, not their construction.
 
     Parameters
     ----------
     vms : list of VmSpec
         VMs of the shard, all claimed.
-    running : int
-        Tasks that run at a time.
+    running_limit : int
+        Number of running tasks above which the oldest tasks end.
+    seed : int
+        Seed of the scheduler's random generator.
+
+    Attributes
+    ----------
+    submit_ns : list of int
+        Handling time of each submit made by `run`.
+    other_ns : int
+        Total handling time of all other messages.
+    answered : int
+        Number of answers.
     """
 
-    def __init__(self, vms: t.Sequence[VmSpec], running: int, seed: int):
+    def __init__(self, vms: t.Sequence[VmSpec], running_limit: int, seed: int):
         self._scheduler = ShardScheduler("dc1/0", "bench", random.Random(seed))
-        self._running_limit = running
+        self._running_limit = running_limit
         self._now = 0.0
         self._ids = itertools.count()
         self._running: deque[StartAttempt] = deque()
@@ -62,43 +73,43 @@
         self._set_up(vms)
 
     def run(self, works: t.Iterable[Work]) -> None:
-        """Submit work; the oldest tasks end once the limit is reached."""
+        """Submit work and end the oldest tasks when too many run."""
         for work in works:
             self._now += 1e-4
-            begun = time.perf_counter_ns()
+            started = time.perf_counter_ns()
             out = self._scheduler.handle(self._now, Submit(work, "bench", 1e9))
-            self.submit_ns.append(time.perf_counter_ns() - begun)
-            self._follow(out)
+            self.submit_ns.append(time.perf_counter_ns() - started)
+            self._handle_outputs(out)
             if len(self._running) >= self._running_limit + REPORT_BATCH:
-                self._end_some()
+                self._end_oldest()
 
-    def batch(self, needs: t.Iterable[Resources]) -> t.Iterator[Work]:
+    def batch_work(self, needs: t.Iterable[Resources]) -> t.Iterator[Work]:
         """Yield batch work of the given sizes."""
         for need in needs:
             yield Work(f"b{next(self._ids)}", WorkKind.BATCH, need=need)
 
-    def requests(self, count: int) -> t.Iterator[Work]:
-        """Yield requests to the one service."""
+    def request_work(self, count: int) -> t.Iterator[Work]:
+        """Yield `count` requests to the only service."""
         for _ in range(count):
             yield Work(f"q{next(self._ids)}", target="service", declared_s=0.1)
 
     def cancel_wave(self, count: int) -> list[int]:
-        """Cancel `count` jobs in a row, one submit after each tenth cancellation.
+        """Submit `count` jobs and cancel them, with a submit for every tenth cancel.
 
         Returns
         -------
         list of int
-            Time of each submit in nanoseconds.
+            Handling time of each submit during the cancellations in nanoseconds.
         """
         jobs = [f"b{next(self._ids)}" for _ in range(count)]
         for job in jobs:
             work = Work(job, WorkKind.BATCH, need=_WAVE_NEED, declared_s=1e6)
-            self._give(Submit(work, "bench", 1e9))
+            self._send(Submit(work, "bench", 1e9))
         self.submit_ns.clear()
         for number, job in enumerate(jobs):
-            self._give(Cancel(job))
+            self._send(Cancel(job))
             if number % 10 == 0:
-                self.run(self.batch([_WAVE_NEED]))
+                self.run(self.batch_work([_WAVE_NEED]))
         return self.submit_ns
 
     def _set_up(self, vms: t.Sequence[VmSpec]) -> None:
@@ -108,32 +119,33 @@
             vm_groups={"all": VmGroupSpec("all", tuple(vms))},
             policy=Policy(short_share=0.0),
         )
-        self._give(Configure(config))
+        self._send(Configure(config))
         for vm in vms:
-            self._give(VmUpdate(vm))
-        self._give(Authority("dc1/0", 1, float("inf")))
+            self._send(VmUpdate(vm))
+        self._send(Authority("dc1/0", 1, float("inf")))
         self.other_ns = 0
 
-    def _end_some(self) -> None:
+    def _end_oldest(self) -> None:
         ended = [self._running.popleft() for _ in range(REPORT_BATCH)]
         for vm in dict.fromkeys(start.vm for start in ended):
             reports = tuple(_report(start) for start in ended if start.vm == vm)
-            self._give(PollReply(vm, 1, reports, int(self._now * 1000)))
+            self._send(PollReply(vm, 1, reports, int(self._now * 1000)))
 
-    def _give(self, msg: Message) -> None:
-        begun = time.perf_counter_ns()
+    def _send(self, msg: Message) -> None:
+        """Pass a message to the scheduler, time it, and answer the output."""
+        started = time.perf_counter_ns()
         out = self._scheduler.handle(self._now, msg)
-        self.other_ns += time.perf_counter_ns() - begun
-        self._follow(out)
+        self.other_ns += time.perf_counter_ns() - started
+        self._handle_outputs(out)
 
-    def _follow(self, out: t.Iterable[Message]) -> None:
+    def _handle_outputs(self, out: t.Iterable[Message]) -> None:
         for item in out:
             if isinstance(item, StartAttempt):
                 if item.work.kind is not WorkKind.SERVICE:
                     self._running.append(item)
-                self._give(StartReply(item.vm, item.attempt_id, Code.OK))
+                self._send(StartReply(item.vm, item.attempt_id, Code.OK))
             elif isinstance(item, ClaimWorker):
-                self._give(ClaimReply(item.vm, item.epoch, True))
+                self._send(ClaimReply(item.vm, item.epoch, True))
             elif isinstance(item, Answer):
                 self.answered += 1
 
--- a/src/poplaryard/bench_shard.py
+++ b/src/poplaryard/bench_shard.py
@@ -1,4 +1,4 @@
-"""`ShardScheduler` as a strategy for the bench, with workers that answer at once."""
+"""`ShardScheduler` as a benchmark strategy; simulated workers answer at once."""
 
 import random
 import typing as t
@@ -30,15 +30,15 @@
 )
 from .scheduler import ShardScheduler
 
-__all__ = ["Shard", "shard"]
+__all__ = ["Shard", "shard_strategy"]
 
 _EPOCH = 1
-# Virtual time never reaches this, so the authority holds throughout.
+# Virtual time never reaches this, so the shard's authority does not expire.
 _FOREVER_S = 1e9
 
 
 class Shard:
-    """One shard that owns every VM of the cluster."""
+    """Strategy in which one shard owns every VM of the cluster."""
 
     requeues = True
 
@@ -48,7 +48,7 @@
         self._hosts = {host.name: host for host in cluster.hosts}
         self._jobs: dict[str, Job] = {}
         self._runs: dict[str, Run] = {}
-        self._replies: deque[Message] = deque()
+        self._inbox: deque[Message] = deque()
         specs = tuple(_spec(host) for host in cluster.hosts)
         group = VmGroupSpec("", specs)
         self._send(0.0, Configure(replace(config, vm_groups={"": group})))
@@ -58,7 +58,7 @@
         self._send(0.0, Tick())
 
     def arrive(self, now: float, job: Job) -> None:
-        """Submit a job; a retry has an id of its own, as a caller's has."""
+        """Submit a job; each retry has its own request id, as a client's retry has."""
         request_id = f"{job.work.request_id}#{job.attempts}"
         self._jobs[request_id] = job
         self._send(now, Submit(replace(job.work, request_id=request_id)))
@@ -67,7 +67,7 @@
         """Cancel a job."""
         self._send(now, Cancel(f"{job.work.request_id}#{job.attempts}"))
 
-    def ended(self, now: float, run: Run, state: AttemptState) -> None:
+    def task_ended(self, now: float, run: Run, state: AttemptState) -> None:
         """Report the end of a task."""
         attempt_id, _, request_id = run.key.partition(" ")
         self._runs.pop(attempt_id)
@@ -81,27 +81,27 @@
             used=work.need,
             target=work.target,
             team=work.team,
-            elapsed_s=now - run.at,
+            elapsed_s=now - run.started,
         )
         self._send(now, PollReply(run.host.name, _EPOCH, (report,)))
 
     def step(self, now: float, tick: bool) -> None:
-        """Pass the time; everything else follows from the messages."""
+        """Send a tick; all other work is driven by messages."""
         if tick:
             self._send(now, Tick())
 
     def _send(self, now: float, msg: Message) -> None:
-        """Give a message to the scheduler and carry out what follows from it."""
-        self._replies.append(msg)
-        while self._replies:
-            for out in self._scheduler.handle(now, self._replies.popleft()):
-                self._carry_out(now, out)
+        """Pass a message to the scheduler and handle all messages that result."""
+        self._inbox.append(msg)
+        while self._inbox:
+            for out in self._scheduler.handle(now, self._inbox.popleft()):
+                self._handle_output(now, out)
 
-    def _carry_out(self, now: float, msg: Message) -> None:
+    def _handle_output(self, now: float, msg: Message) -> None:
         if isinstance(msg, StartAttempt):
             self._start(now, msg)
         elif isinstance(msg, ClaimWorker):
-            self._replies.append(ClaimReply(msg.vm, msg.epoch, True))
+            self._inbox.append(ClaimReply(msg.vm, msg.epoch, True))
         elif isinstance(msg, StopAttempt) and msg.attempt_id in self._runs:
             if msg.mode is StopMode.CHECKPOINT:
                 self._cluster.preempt(now, self._runs[msg.attempt_id])
@@ -112,7 +112,7 @@
                 self._cluster.drop(job, msg.code.name.lower())
 
     def _start(self, now: float, msg: StartAttempt) -> None:
-        self._replies.append(StartReply(msg.vm, msg.attempt_id, Code.OK))
+        self._inbox.append(StartReply(msg.vm, msg.attempt_id, Code.OK))
         if msg.work.kind is WorkKind.SERVICE:
             return
         job = self._jobs[msg.work.request_id]
@@ -121,10 +121,10 @@
         self._runs[msg.attempt_id] = run
 
 
-def shard(
+def shard_strategy(
     config: Configuration,
 ) -> t.Callable[[Cluster, random.Random], Shard]:
-    """Return a maker of strategies under one configuration."""
+    """Return a factory of shard strategies with the given configuration."""
     return lambda cluster, rng: Shard(cluster, rng, config)
 
 
--- a/src/poplaryard/bench_stragglers.py
+++ b/src/poplaryard/bench_stragglers.py
@@ -7,7 +7,7 @@
 from .bench_baselines import BASELINES
 from .bench_driver import Host, Job, run
 from .bench_figures import figures
-from .bench_shard import shard
+from .bench_shard import shard_strategy
 from .configuration import Configuration
 from .messages import Work, WorkKind
 from .resources import Resources
@@ -41,7 +41,7 @@
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
     """Return the figures of short and long work for each load and strategy."""
-    strategies = {"poplaryard": shard(Configuration(number=1)), **BASELINES}
+    strategies = {"poplaryard": shard_strategy(Configuration(number=1)), **BASELINES}
     found = []
     for case in _CASES:
         for name, make in strategies.items():
