--- a/src/poplaryard/bench_blackhole.py
+++ b/src/poplaryard/bench_blackhole.py
@@ -1,4 +1,4 @@
-"""Black hole: VMs that fail all they start, slow VMs, and work that fails anywhere."""
+"""Fault benchmark: VMs that fail every task, slow VMs, and jobs that often fail."""
 
 import random
 import typing as t
@@ -18,42 +18,45 @@
 _CAPACITY = Resources(16_000, 32_768, 0)
 _NEED = Resources(1000, 2048, 0)
 _LOAD = 0.8
-# Failing work is tried three times, so that its case starts from a lower load.
+# Failed jobs are tried up to three times, so this case needs a lower offered load.
 _BAD_WORK_LOAD = 0.4
+# Indices of the faulty VMs.
 _FAULTY = (3, 11)
 _FAULT_FROM_S = 20.0
 _FAULT_UNTIL_S = 80.0
 _FAILS_AFTER_S = 0.005
 _SLOWDOWN = 5.0
-# Share of jobs that fail on any VM, and of one team's jobs in the case "bad work".
+# Share of jobs that fail on every VM, usually and for one team in "bad work".
 _USUAL_FAILURES = 0.01
 _BAD_FAILURES = 0.9
 _CASES = ("black hole", "slow", "bad work")
 
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
-    """Return the figures of each fault and strategy."""
+    """Return the figures of the well-behaved jobs for each fault and strategy."""
     strategies = {"poplaryard": shard_strategy(Configuration(number=1)), **BASELINES}
     return [
-        _row(case, name, make, seed)
+        _row(case, name, make_strategy, seed)
         for case in _CASES
-        for name, make in strategies.items()
+        for name, make_strategy in strategies.items()
     ]
 
 
-def _row(case: str, name: str, make: t.Any, seed: int) -> dict[str, t.Any]:
+def _row(case: str, name: str, make_strategy: t.Any, seed: int) -> dict[str, t.Any]:
     jobs, hosts = _jobs(random.Random(seed), case), _hosts(case)
-    cluster = run(jobs, hosts, make, seed)
+    cluster = run(jobs, hosts, make_strategy, seed)
     row = figures(jobs, cluster, (0.0, _SPAN_S), "good")
     chosen = [job for job in jobs if job.label == "good"]
-    spans = sorted(job.ended - job.arrived for job in chosen if job.ended and job.ok)
-    tries = sum(job.attempts for job in chosen)
+    response_s = sorted(
+        job.ended - job.arrived for job in chosen if job.ended and job.ok
+    )
+    attempts = sum(job.attempts for job in chosen)
     return {
         "case": case,
         "strategy": name,
         **row,
-        "answer_p99_s": round(spans[int(0.99 * len(spans))], 6),
-        "wasted": round(1.0 - len(spans) / tries, 6),
+        "answer_p99_s": round(response_s[int(0.99 * len(response_s))], 6),
+        "wasted": round(1.0 - len(response_s) / attempts, 6),
     }
 
 
--- a/src/poplaryard/bench_cancel.py
+++ b/src/poplaryard/bench_cancel.py
@@ -1,4 +1,4 @@
-"""Cancellation wave: 10,000 waiting jobs cancelled at one moment."""
+"""Cancellation benchmark: 10,000 waiting jobs are cancelled at the same moment."""
 
 import math
 import random
@@ -26,19 +26,19 @@
 
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
-    """Return the figures of the other team's jobs with and without the wave."""
-    ours: t.Any = shard_strategy(Configuration(number=1))
-    found = []
+    """Return the figures of another team's jobs with and without the cancelled wave."""
+    poplaryard: t.Any = shard_strategy(Configuration(number=1))
+    results = []
     for case, wave in _CASES.items():
-        for name, make in {"poplaryard": ours, **BASELINES}.items():
+        for name, make_strategy in {"poplaryard": poplaryard, **BASELINES}.items():
             jobs = _jobs(random.Random(seed), wave)
             hosts = [Host(f"vm{n:03d}", _CAPACITY) for n in range(_HOSTS)]
-            cluster = run(jobs, hosts, make, seed)
+            cluster = run(jobs, hosts, make_strategy, seed)
             row = figures(jobs, cluster, (0.0, _SPAN_S), "steady")
             cancelled = cluster.dropped.get("cancelled", 0)
-            head = {"case": case, "strategy": name}
-            found.append({**head, **row, "cancelled": cancelled})
-    return found
+            common = {"case": case, "strategy": name}
+            results.append({**common, **row, "cancelled": cancelled})
+    return results
 
 
 def _jobs(rng: random.Random, wave: int) -> list[Job]:
--- a/src/poplaryard/bench_crest.py
+++ b/src/poplaryard/bench_crest.py
@@ -1,4 +1,7 @@
-"""Crest: requests whose rate swings tenfold within seconds, and steady overload."""
+"""Load-peak benchmark: a request rate that swings tenfold, and steady overload.
+
+The time of high load in a swing is called the crest, the rest calm.
+"""
 
 import functools
 import math
@@ -21,7 +24,7 @@
 _MEAN_S = 0.1
 _CAPACITY_PER_S = _EXECUTORS * _SLOTS / _MEAN_S
 _DEADLINE_S = 1.0
-# Swing: 0.3 of capacity, and 3 times capacity for 4 s of each 20 s.
+# The swing: 0.3 times capacity, and 3 times capacity for 4 s of each 20 s.
 _SPAN_S = 60.0
 _CALM_LOAD = 0.3
 _CREST_LOAD = 3.0
@@ -37,12 +40,15 @@
 
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
-    """Return the figures of the swing, then of each steady load, per strategy."""
-    found = []
-    for name, make in {"poplaryard": shard_strategy(_config()), **BASELINES}.items():
-        found += _swing(name, make, seed)
-        found += _steady(name, make, seed)
-    return found
+    """Return, for each strategy, the figures of the swing and of each steady load."""
+    results = []
+    for name, make_strategy in {
+        "poplaryard": shard_strategy(_config()),
+        **BASELINES,
+    }.items():
+        results += _swing(name, make_strategy, seed)
+        results += _steady(name, make_strategy, seed)
+    return results
 
 
 def _config() -> Configuration:
@@ -51,28 +57,30 @@
     return Configuration(number=1, services={"booking": service})
 
 
-def _swing(name: str, make: t.Any, seed: int) -> list[dict[str, t.Any]]:
+def _swing(name: str, make_strategy: t.Any, seed: int) -> list[dict[str, t.Any]]:
     jobs = _jobs(random.Random(seed), _SPAN_S, _swing_load)
-    cluster = run(jobs, _hosts(), make, seed)
-    head = {"case": "swing", "strategy": name}
+    cluster = run(jobs, _hosts(), make_strategy, seed)
+    common = {"case": "swing", "strategy": name}
     return [
-        {**head, "work": label, **figures(jobs, cluster, (0.0, _SPAN_S), label)}
+        {**common, "work": label, **figures(jobs, cluster, (0.0, _SPAN_S), label)}
         for label in ("crest", "calm")
     ]
 
 
-def _steady(name: str, make: t.Any, seed: int) -> list[dict[str, t.Any]]:
-    found: list[dict[str, t.Any]] = []
+def _steady(name: str, make_strategy: t.Any, seed: int) -> list[dict[str, t.Any]]:
+    results: list[dict[str, t.Any]] = []
     for load in _STEADY_LOADS:
-        jobs = _jobs(random.Random(seed), _STEADY_S, functools.partial(_same, load))
-        cluster = run(jobs, _hosts(), make, seed)
+        jobs = _jobs(
+            random.Random(seed), _STEADY_S, functools.partial(_constant_load, load)
+        )
+        cluster = run(jobs, _hosts(), make_strategy, seed)
         row = figures(jobs, cluster, (_WARM_UP_S, _STEADY_S))
-        head = {"case": f"steady {load}", "strategy": name, "work": "all"}
-        found.append({**head, **row})
-    peak = max(row["goodput_per_s"] for row in found)
-    for row in found:
+        common = {"case": f"steady {load}", "strategy": name, "work": "all"}
+        results.append({**common, **row})
+    peak = max(row["goodput_per_s"] for row in results)
+    for row in results:
         row["of_peak"] = round(row["goodput_per_s"] / peak, 4)
-    return found
+    return results
 
 
 def _hosts() -> list[Host]:
@@ -84,7 +92,7 @@
     return _CREST_LOAD if _in_crest(now) else _CALM_LOAD
 
 
-def _same(load: float, now: float) -> float:
+def _constant_load(load: float, now: float) -> float:
     return load
 
 
@@ -104,7 +112,7 @@
 
 def _job(rng: random.Random, number: int, now: float) -> Job:
     run_s = _MEAN_S * rng.uniform(0.5, 1.5)
-    off = math.exp(rng.uniform(math.log(0.3), math.log(3.0)))
+    error_factor = math.exp(rng.uniform(math.log(0.3), math.log(3.0)))
     greedy = rng.random() < _GREEDY_SHARE
     work = Work(
         request_id=f"j{number}",
@@ -112,7 +120,7 @@
         target="booking",
         team="team0" if greedy else f"team{rng.randrange(1, _TEAMS)}",
         need=SLOT,
-        declared_s=run_s * off,
+        declared_s=run_s * error_factor,
         deadline=now + _DEADLINE_S,
     )
     return Job(work, run_s, now, "crest" if _in_crest(now) else "calm")
--- a/src/poplaryard/bench_quota.py
+++ b/src/poplaryard/bench_quota.py
@@ -1,4 +1,4 @@
-"""Quota: one team asks for the whole capacity beside many small teams."""
+"""Quota benchmark: one team asks for the whole capacity beside many small teams."""
 
 import random
 import sys
@@ -22,38 +22,39 @@
 _NEED = Resources(1000, 2048, 0)
 _DEADLINE_S = 5.0
 _TEAM_COUNTS = (10, 100, 950)
-# Loads of the one large team and of all small teams together.
+# Loads offered by the one large team and by all small teams together.
 _GREEDY_LOAD = 1.0
 _SMALL_LOAD = 0.5
 _DECISIONS = 50_000
 
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
-    """Return the figures of the large team and the small ones per team count.
+    """Return the figures of the large and the small teams for each team count.
 
-    The cost of a decision goes to standard error, since it is not reproducible.
+    The time of a quota decision is printed to standard error and left out of the
+    result, which must be reproducible.
     """
-    found = []
+    results = []
     for count in _TEAM_COUNTS:
         print(f"{count} teams: {decision_us(count, seed):.2f} us", file=sys.stderr)
         teams = {f"team{number}": TeamSpec(f"team{number}") for number in range(count)}
-        ours: t.Any = shard_strategy(Configuration(number=1, teams=teams))
-        for name, make in {"poplaryard": ours, **BASELINES}.items():
+        poplaryard: t.Any = shard_strategy(Configuration(number=1, teams=teams))
+        for name, make_strategy in {"poplaryard": poplaryard, **BASELINES}.items():
             jobs = _jobs(random.Random(seed), count)
             hosts = [Host(f"vm{n:03d}", _CAPACITY) for n in range(_HOSTS)]
-            cluster = run(jobs, hosts, make, seed)
-            head = {"case": f"{count} teams", "strategy": name}
+            cluster = run(jobs, hosts, make_strategy, seed)
+            common = {"case": f"{count} teams", "strategy": name}
             for label in ("small", "greedy"):
                 row = figures(jobs, cluster, (0.0, _SPAN_S), label)
-                found.append({**head, "work": label, **row})
-    return found
+                results.append({**common, "work": label, **row})
+    return results
 
 
 def decision_us(count: int, seed: int) -> float:
-    """Return the mean cost of one quota decision in microseconds.
+    """Return the mean time of one quota decision in microseconds.
 
-    A decision is a queued work, the check, the charge and the release of an earlier
-    charge, with every team holding something and half of them waiting.
+    A decision adds a waiting job, checks the quota, finds the next team, and charges
+    and releases the job. Every team has a charge, and half of them have waiting jobs.
     """
     rng, quotas = random.Random(seed), Quotas()
     names = [f"team{number}" for number in range(count)]
@@ -64,7 +65,7 @@
         if number % 2:
             quotas.add_waiting(name)
     chosen = [rng.choice(names) for _ in range(_DECISIONS)]
-    began = time.perf_counter()
+    started = time.perf_counter()
     for name in chosen:
         quotas.add_waiting(name)
         quotas.allowed(name, _NEED)
@@ -72,7 +73,7 @@
         quotas.remove_waiting(name)
         quotas.charge(name, _NEED)
         quotas.release(name, _NEED)
-    return (time.perf_counter() - began) / _DECISIONS * 1e6
+    return (time.perf_counter() - started) / _DECISIONS * 1e6
 
 
 def _jobs(rng: random.Random, teams: int) -> list[Job]:
--- a/src/poplaryard/bench_retries.py
+++ b/src/poplaryard/bench_retries.py
@@ -1,4 +1,4 @@
-"""Retry storm: callers retry through an outage, with and without budget and jitter."""
+"""Retry benchmark: clients retry through an outage, with or without retry budgets."""
 
 import heapq
 import random
@@ -16,23 +16,30 @@
 _DOWN_FROM_S = 10.0
 _DOWN_UNTIL_S = 20.0
 _DEADLINE_S = 10.0
-# Requests that the service queues; more are refused.
+# Longest queueing delay; requests that would wait longer are refused.
 _QUEUE_S = 0.5
+# Number of entry processes, each with its own retry budget.
 _ENTRIES = 6
+# Width of the time bins in which the peak load is measured.
 _BIN_S = 0.1
+# Delay of the policies with a fixed delay.
 _FIXED_S = 0.1
 
 
 @dataclass(slots=True)
 class _Request:
+    """A request, its arrival time in seconds and the entry process that retries it."""
+
     arrived: float
     entry: int
     attempts: int = 0
 
 
-Wait: t.TypeAlias = t.Callable[[random.Random, int], float]
+# Returns the delay in seconds after the given attempt, counted from 1.
+Delay: t.TypeAlias = t.Callable[[random.Random, int], float]
 
-_WAYS: dict[str, tuple[Wait, bool]] = {
+# Policy name to delay function and whether retries are limited by a budget.
+_POLICIES: dict[str, tuple[Delay, bool]] = {
     "fixed wait": (lambda rng, attempt: _FIXED_S, False),
     "doubling": (lambda rng, attempt: min(5.0, 0.05 * 2.0 ** (attempt - 1)), False),
     "full jitter": (backoff_s, False),
@@ -42,46 +49,55 @@
 
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
-    """Return the load that each way of retrying puts on the service."""
-    return [_run(name, random.Random(seed), *way) for name, way in _WAYS.items()]
+    """Return the load that each retry policy puts on the service."""
+    return [
+        _simulate(name, random.Random(seed), *policy)
+        for name, policy in _POLICIES.items()
+    ]
 
 
-def _run(name: str, rng: random.Random, wait: Wait, bounded: bool) -> dict[str, t.Any]:
+def _simulate(
+    name: str, rng: random.Random, delay: Delay, with_budget: bool
+) -> dict[str, t.Any]:
     budgets = [RetryBudget() for _ in range(_ENTRIES)]
     events = _arrivals(rng)
     order = len(events)
-    tries: Counter[int] = Counter()
-    free_at, good, after = 0.0, 0, 0
+    attempts_by_bin: Counter[int] = Counter()
+    free_at, served, served_after = 0.0, 0, 0
     while events:
         now, _, req = heapq.heappop(events)
         req.attempts += 1
-        tries[int(now / _BIN_S)] += 1
+        attempts_by_bin[int(now / _BIN_S)] += 1
         budget = budgets[req.entry]
         if req.attempts == 1:
             budget.record_attempt(now)
         down = _DOWN_FROM_S <= now < _DOWN_UNTIL_S
         if not down and free_at - now <= _QUEUE_S:
             free_at = max(free_at, now) + 1.0 / _CAPACITY_PER_S
-            good += 1
-            after += now >= _DOWN_UNTIL_S
+            served += 1
+            served_after += now >= _DOWN_UNTIL_S
             continue
-        again = now + wait(rng, req.attempts)
-        if again >= req.arrived + _DEADLINE_S or (bounded and not budget.take(now)):
+        retry_at = now + delay(rng, req.attempts)
+        if retry_at >= req.arrived + _DEADLINE_S or (
+            with_budget and not budget.take(now)
+        ):
             continue
         order += 1
-        heapq.heappush(events, (again, order, req))
+        heapq.heappush(events, (retry_at, order, req))
     first_bin, last_bin = (int(at / _BIN_S) for at in (_DOWN_FROM_S, _DOWN_UNTIL_S))
-    during = sum(tries[number] for number in range(first_bin, last_bin))
+    attempts_in_outage = sum(
+        attempts_by_bin[number] for number in range(first_bin, last_bin)
+    )
     return {
         "case": "outage of 10 s",
         "strategy": name,
         "load_in_outage": round(
-            during / (_DOWN_UNTIL_S - _DOWN_FROM_S) / _RATE_PER_S, 6
+            attempts_in_outage / (_DOWN_UNTIL_S - _DOWN_FROM_S) / _RATE_PER_S, 6
         ),
-        "peak_load": round(max(tries.values()) / _BIN_S / _RATE_PER_S, 6),
-        "tries": sum(tries.values()),
-        "served": round(good / (_RATE_PER_S * _SPAN_S), 6),
-        "served_after_per_s": round(after / (_SPAN_S - _DOWN_UNTIL_S), 6),
+        "peak_load": round(max(attempts_by_bin.values()) / _BIN_S / _RATE_PER_S, 6),
+        "tries": sum(attempts_by_bin.values()),
+        "served": round(served / (_RATE_PER_S * _SPAN_S), 6),
+        "served_after_per_s": round(served_after / (_SPAN_S - _DOWN_UNTIL_S), 6),
     }
 
 
--- a/src/poplaryard/bench_stragglers.py
+++ b/src/poplaryard/bench_stragglers.py
@@ -1,4 +1,4 @@
-"""Stragglers: short work on GPU VMs beside jobs that run 100 times longer."""
+"""Straggler benchmark: short jobs on GPU VMs beside jobs that run 100 times longer."""
 
 import math
 import random
@@ -22,13 +22,13 @@
 _SHORT_S = 1.0
 _LONG_S = 100.0
 _LONG_SHARE = 0.01
-# Waits below the time of one hop to the worker count as that time in ratios.
+# Shorter waits count as this in ratios; it is about one network hop to a worker.
 _FLOOR_S = 0.001
-# Swing: for 5 s of each 60 s short work arrives at five times its usual rate.
+# In the swing cases, for 5 s of each 60 s, jobs arrive at five times the usual rate.
 _SWING_EVERY_S = 60.0
 _SWING_S = 5.0
 _SWING_FACTOR = 5.0
-# Load, whether short work swings, whether long work can be checkpointed.
+# Case name to load, whether the load swings, and whether long jobs can checkpoint.
 _CASES = {
     "load 0.7, rigid": (0.7, False, False),
     "load 0.7": (0.7, False, True),
@@ -40,32 +40,34 @@
 
 
 def rows(seed: int) -> list[dict[str, t.Any]]:
-    """Return the figures of short and long work for each load and strategy."""
+    """Return the figures of short and long jobs for each case and strategy."""
     strategies = {"poplaryard": shard_strategy(Configuration(number=1)), **BASELINES}
-    found = []
+    results = []
     for case in _CASES:
-        for name, make in strategies.items():
-            found += _compare(case, name, make, seed)
-    return found
+        for name, make_strategy in strategies.items():
+            results += _compare(case, name, make_strategy, seed)
+    return results
 
 
-def _compare(case: str, name: str, make: t.Any, seed: int) -> list[dict[str, t.Any]]:
+def _compare(
+    case: str, name: str, make_strategy: t.Any, seed: int
+) -> list[dict[str, t.Any]]:
     with_long = _jobs(random.Random(seed), *_CASES[case])
-    alone = [
+    short_only = [
         job for job in _jobs(random.Random(seed), *_CASES[case]) if job.label == "short"
     ]
-    cluster = run(alone, _hosts(), make, seed)
-    before = figures(alone, cluster, (0.0, _SPAN_S), "short")
-    cluster = run(with_long, _hosts(), make, seed)
+    cluster = run(short_only, _hosts(), make_strategy, seed)
+    baseline = figures(short_only, cluster, (0.0, _SPAN_S), "short")
+    cluster = run(with_long, _hosts(), make_strategy, seed)
     short = figures(with_long, cluster, (0.0, _SPAN_S), "short")
     long = figures(with_long, cluster, (0.0, _SPAN_S), "long")
-    floored = [max(_FLOOR_S, row["wait_p99_s"]) for row in (short, before)]
+    floored = [max(_FLOOR_S, row["wait_p99_s"]) for row in (short, baseline)]
     ratio = round(floored[0] / floored[1], 3)
-    head = {"case": case, "strategy": name}
+    common = {"case": case, "strategy": name}
     return [
-        {**head, "work": "short alone", **before},
-        {**head, "work": "short", **short, "p99_ratio": ratio},
-        {**head, "work": "long", **long},
+        {**common, "work": "short alone", **baseline},
+        {**common, "work": "short", **short, "p99_ratio": ratio},
+        {**common, "work": "long", **long},
     ]
 
 
@@ -88,13 +90,13 @@
 def _job(rng: random.Random, number: int, now: float, checkpoints: bool) -> Job:
     long = rng.random() < _LONG_SHARE
     run_s = rng.uniform(0.5, 1.5) * (_LONG_S if long else _SHORT_S)
-    off = math.exp(rng.uniform(math.log(0.3), math.log(3.0)))
+    error_factor = math.exp(rng.uniform(math.log(0.3), math.log(3.0)))
     work = Work(
         request_id=f"j{number}",
         kind=WorkKind.BATCH,
         team=f"team{number % 4}",
         need=_NEED,
-        declared_s=run_s * off,
+        declared_s=run_s * error_factor,
         checkpointable=long and checkpoints,
     )
     return Job(work, run_s, now, "long" if long else "short")
--- a/tests/test_bench_policy.py
+++ b/tests/test_bench_policy.py
@@ -67,8 +67,8 @@
 
     def test_retry_budget_bounds_the_load_of_an_outage(self):
         """Guards against a retry storm while the service is down."""
-        way = bench_retries._WAYS["full jitter, budget"]
-        row = bench_retries._run("budget", random.Random(1), *way)
+        retry_policy = bench_retries._POLICIES["full jitter, budget"]
+        row = bench_retries._simulate("budget", random.Random(1), *retry_policy)
         self.assertTrue(row["load_in_outage"] < 1.2)
 
     def test_percentile_and_jain_index(self):
