--- a/src/poplaryard/bench_placement.py
+++ b/src/poplaryard/bench_placement.py
@@ -1,4 +1,4 @@
-"""Benchmark of placement: cost of a decision and packing, against three baselines."""
+"""Placement benchmark: decision time and packing, compared with three baselines."""
 
 import hashlib
 import itertools
@@ -20,13 +20,13 @@
 
 Chooser: t.TypeAlias = t.Callable[[BatchTask, Fleet, random.Random], Vm | None]
 
-# Share of the dominant resource that is in use while decisions are timed.
+# Used share of the dominant resource while decisions are timed.
 CHURN_LOAD = 0.8
-# Share of the cell that the packing run asks for; the bound is then the VMs that hold
-# it, and a policy is judged by how many VMs it puts to use.
+# Share of the cell's capacity that the packing run places. A chooser is judged by how
+# many VMs it uses, compared with the lower bound for that work.
 PACKING_LOAD = 0.6
 RACK_SIZE = 5
-# Jobs cancelled at once in one of the runs.
+# Number of jobs cancelled in the run `cancel_wave`.
 CANCELLED = 10_000
 PLAIN_SHAPE = Resources(16_000, 32_768, 0)
 # Shapes of section 1.3 of the design page, with the share of each in the cell.
@@ -38,7 +38,7 @@
 )
 
 
-def _ours(task: BatchTask, fleet: Fleet, rng: random.Random) -> Vm | None:
+def _scheduler_choice(task: BatchTask, fleet: Fleet, rng: random.Random) -> Vm | None:
     choice = choose(task, fleet, rng)
     return choice.vm if choice else None
 
@@ -51,9 +51,9 @@
 
 
 def _random_feasible(task: BatchTask, fleet: Fleet, rng: random.Random) -> Vm | None:
-    names = list(fleet.vms.values())
-    for _ in range(len(names)):
-        vm = names[int(rng.random() * len(names))]
+    vms = list(fleet.vms.values())
+    for _ in range(len(vms)):
+        vm = vms[int(rng.random() * len(vms))]
         if task.need.fits_in(vm.free):
             return vm
     return None
@@ -61,10 +61,10 @@
 
 def _least_loaded(task: BatchTask, fleet: Fleet, rng: random.Random) -> Vm | None:
     fitting = [vm for vm in fleet.vms.values() if task.need.fits_in(vm.free)]
-    return min(fitting, key=_load, default=None)
+    return min(fitting, key=_used_share, default=None)
 
 
-def _load(vm: Vm) -> float:
+def _used_share(vm: Vm) -> float:
     return (vm.shape - vm.free).dominant_share(vm.shape)
 
 
@@ -78,16 +78,16 @@
 def _vms(count: int, shapes: t.Sequence[tuple[float, Resources]]) -> list[VmSpec]:
     counts = [round(share * count) for share, _ in shapes[1:]]
     counts.insert(0, count - sum(counts))
-    found: list[VmSpec] = []
+    specs: list[VmSpec] = []
     for size, (_, shape) in zip(counts, shapes, strict=True):
-        for number in range(len(found), len(found) + size):
+        for number in range(len(specs), len(specs) + size):
             name, rack = f"vm{number:05d}", f"r{number // RACK_SIZE:05d}"
-            found.append(VmSpec(name, "dc1", rack, "", shape))
-    return found
+            specs.append(VmSpec(name, "dc1", rack, "", shape))
+    return specs
 
 
-def _cell(count: int, shapes: t.Sequence[tuple[float, Resources]]) -> Fleet:
-    """Return a fleet of empty, claimed VMs."""
+def _build_fleet(count: int, shapes: t.Sequence[tuple[float, Resources]]) -> Fleet:
+    """Return a fleet of idle, claimed VMs."""
     fleet = Fleet()
     for spec in _vms(count, shapes):
         vm = fleet.update(spec)
@@ -97,7 +97,7 @@
 
 
 def _needs(rng: random.Random, gpus: bool) -> t.Iterator[Resources]:
-    """Yield task sizes; the work comes in 40 job classes of fixed size."""
+    """Yield task sizes, each that of a random one of 40 job classes."""
     classes = [_job_class(rng, gpus and number % 20 == 0) for number in range(40)]
     while True:
         yield rng.choice(classes)
@@ -109,10 +109,10 @@
     return Resources(cpu_m, mem_mb, rng.choice((1, 2, 4)) if gpus else 0)
 
 
-def _pack(chooser: Chooser, vms: int, seed: int) -> float:
-    """Return the fewest VMs that could hold the work as a share of those used."""
+def _measure_packing(chooser: Chooser, vms: int, seed: int) -> float:
+    """Return the lower bound on the number of VMs needed, divided by the VMs used."""
     rng = random.Random(seed)
-    fleet = _cell(vms, ((1.0, PLAIN_SHAPE),))
+    fleet = _build_fleet(vms, ((1.0, PLAIN_SHAPE),))
     limit = PLAIN_SHAPE.times(int(vms * PACKING_LOAD))
     placed = ZERO
     for number, need in enumerate(_needs(rng, gpus=False)):
@@ -123,19 +123,30 @@
             break
         fleet.charge(vm, str(number), need)
         placed += need
-    bound = placed.dominant_share(PLAIN_SHAPE)
-    return bound / max(1, sum(bool(vm.charges) for vm in fleet.vms.values()))
+    lower_bound = placed.dominant_share(PLAIN_SHAPE)
+    return lower_bound / max(1, sum(bool(vm.charges) for vm in fleet.vms.values()))
 
 
 class _Churn:
-    """Cell at a steady load in which decisions are timed."""
+    """Fleet under a steady load, on which placement decisions are timed.
+
+    The chooser has its own random generator, so that its draws do not change the
+    workload.
+
+    Attributes
+    ----------
+    misses : int
+        Number of tasks for which no VM was found.
+    on_gpu_vms : int
+        Number of tasks without GPUs that were placed on GPU VMs.
+    """
 
     def __init__(self, chooser: Chooser, vms: int, seed: int):
         self._chooser = chooser
-        self._rng = random.Random(seed)
-        self._picks = random.Random(seed + 1)
-        self._fleet = _cell(vms, SHAPES)
-        self._needs = _needs(self._rng, gpus=True)
+        self._workload_rng = random.Random(seed)
+        self._chooser_rng = random.Random(seed + 1)
+        self._fleet = _build_fleet(vms, SHAPES)
+        self._needs = _needs(self._workload_rng, gpus=True)
         self._placed: list[tuple[str, str]] = []
         self._number = 0
         self._digest = hashlib.sha256()
@@ -143,27 +154,27 @@
         self.on_gpu_vms = 0
 
     def fill(self) -> None:
-        """Place tasks until the load is reached."""
+        """Place tasks until CHURN_LOAD is reached."""
         while self._fleet.used.dominant_share(self._fleet.total) < CHURN_LOAD:
             self._decide()
 
     def run(self, count: int) -> list[int]:
-        """Return the time of each of `count` decisions in nanoseconds."""
+        """Make `count` decisions and return the time of each in nanoseconds."""
         elapsed = []
         for _ in range(count):
-            begun = time.perf_counter_ns()
+            started = time.perf_counter_ns()
             self._decide()
-            elapsed.append(time.perf_counter_ns() - begun)
-            self._release_one()
+            elapsed.append(time.perf_counter_ns() - started)
+            self._release_excess()
         return elapsed
 
     def digest(self) -> str:
-        """Return a digest of all choices."""
+        """Return a digest of the chosen VMs in order."""
         return self._digest.hexdigest()[:16]
 
     def _decide(self) -> None:
         need = next(self._needs)
-        vm = self._chooser(BatchTask(need), self._fleet, self._picks)
+        vm = self._chooser(BatchTask(need), self._fleet, self._chooser_rng)
         if vm is None:
             self.misses += 1
             return
@@ -174,10 +185,10 @@
         self._digest.update(vm.name.encode())
         self.on_gpu_vms += bool(vm.shape.gpus and not need.gpus)
 
-    def _release_one(self) -> None:
-        """End a random task while the load is above its level."""
+    def _release_excess(self) -> None:
+        """End random tasks until the load is at most CHURN_LOAD."""
         while self._fleet.used.dominant_share(self._fleet.total) > CHURN_LOAD:
-            index = int(self._rng.random() * len(self._placed))
+            index = int(self._workload_rng.random() * len(self._placed))
             self._placed[index], self._placed[-1] = (
                 self._placed[-1],
                 self._placed[index],
@@ -188,14 +199,14 @@
 def _measure(chooser: Chooser, vms: int, tasks: int, seed: int) -> dict[str, t.Any]:
     churn = _Churn(chooser, vms, seed)
     churn.fill()
-    begun = time.perf_counter()
+    started = time.perf_counter()
     elapsed = sorted(churn.run(tasks))
-    total_s = time.perf_counter() - begun
+    total_s = time.perf_counter() - started
     return {
         "decisions_per_s": round(tasks / total_s),
         "p50_us": round(elapsed[len(elapsed) // 2] / 1000, 1),
         "p99_us": round(elapsed[len(elapsed) * 99 // 100] / 1000, 1),
-        "packing": round(_pack(chooser, vms, seed), 4),
+        "packing": round(_measure_packing(chooser, vms, seed), 4),
         "misses": churn.misses,
         "plain_tasks_on_gpu_vms": churn.on_gpu_vms,
         "digest": churn.digest(),
@@ -203,8 +214,8 @@
 
 
 def _measure_scheduler(vms: int, tasks: int, seed: int) -> dict[str, t.Any]:
-    """Measure the whole scheduler, from a submit to the answer."""
-    found = {}
+    """Measure the whole scheduler, from submit to answer."""
+    results = {}
     rng = random.Random(seed)
     for kind in ("batch", "request"):
         bench = SchedulerBench(_vms(vms, SHAPES), 4 * vms, seed)
@@ -215,18 +226,18 @@
             bench.run(bench.request_work(tasks))
         total_ns = sum(bench.submit_ns) + bench.other_ns
         elapsed = sorted(bench.submit_ns)
-        found[kind] = {
+        results[kind] = {
             "tasks_per_s": round(tasks * 1e9 / total_ns),
             "submit_p50_us": round(elapsed[len(elapsed) // 2] / 1000, 1),
             "submit_p99_us": round(elapsed[len(elapsed) * 99 // 100] / 1000, 1),
             "answered": bench.answered,
         }
-    found["cancel_wave"] = _measure_wave(vms, seed)
-    return found
+    results["cancel_wave"] = _measure_cancel_wave(vms, seed)
+    return results
 
 
-def _measure_wave(vms: int, seed: int) -> dict[str, t.Any]:
-    """Measure submits while many jobs are cancelled, running and waiting ones."""
+def _measure_cancel_wave(vms: int, seed: int) -> dict[str, t.Any]:
+    """Measure submits while many running and waiting jobs are cancelled."""
     bench = SchedulerBench(_vms(vms, SHAPES), 10 * CANCELLED, seed)
     elapsed = sorted(bench.cancel_wave(CANCELLED))
     return {
@@ -250,7 +261,7 @@
 )
 def placement(vms: int, tasks: int, seed: int, output: str, baselines: bool) -> None:
     """Measure decisions per second, their latency, and packing."""
-    choosers = {"ours": _ours, **(BASELINES if baselines else {})}
+    choosers = {"ours": _scheduler_choice, **(BASELINES if baselines else {})}
     result: dict[str, t.Any] = {"vms": vms, "tasks": tasks, "seed": seed}
     for name, chooser in choosers.items():
         result[name] = _measure(chooser, vms, tasks, seed)
--- a/src/poplaryard/bench_scale.py
+++ b/src/poplaryard/bench_scale.py
@@ -1,7 +1,8 @@
-"""Benchmark of the slopes that the capacity page extrapolates from.
+"""Scaling benchmark: memory and processor time of a shard at three sizes each.
 
-Each quantity is measured over the real `ShardScheduler` at three sizes. Memory is what
-tracemalloc counts as allocated, which leaves out the allocator's own overhead.
+The capacity page extrapolates from the slopes. All quantities are measured on the real
+`ShardScheduler`. Memory is the amount that tracemalloc counts as allocated, which
+excludes the allocator's own overhead.
 """
 
 import gc
@@ -45,7 +46,7 @@
 TEAMS = (50, 200, 950)
 # One team may hold a third of the queue, so larger sizes would be refused.
 WAITING = (400, 1600, 6400)
-# Each timing is the median of this many runs, so that one busy moment does not count.
+# Number of runs of which the median is taken, so that a single outlier is ignored.
 REPEATS = 5
 TASKS_PER_POLL = 64
 
@@ -76,30 +77,30 @@
     return Configuration(number=1, vm_groups={group.name: group}, teams=specs)
 
 
-class _Shard:
-    """Scheduler whose workers answer at once."""
+class _SimulatedShard:
+    """Shard scheduler with simulated workers that answer at once."""
 
     def __init__(self, vms: int, teams: int = 0):
         self.now = 0.0
         self.scheduler = ShardScheduler(SHARD, "bench#1", random.Random(1))
         self.started: list[StartAttempt] = []
         config = _config(vms, teams)
-        self.give(Configure(config))
-        self.give(Authority(SHARD, 1, 1e9))
+        self.send(Configure(config))
+        self.send(Authority(SHARD, 1, 1e9))
         for vm in config.vms("dc1"):
-            self.give(VmUpdate(vm))
+            self.send(VmUpdate(vm))
 
-    def give(self, message: t.Any) -> None:
-        """Hand a message to the scheduler and answer its claims and starts."""
+    def send(self, message: t.Any) -> None:
+        """Pass a message to the scheduler and answer its claims and starts."""
         for out in self.scheduler.handle(self.now, message):
             if isinstance(out, ClaimWorker):
-                self.give(ClaimReply(out.vm, 1, True, (), 1))
+                self.send(ClaimReply(out.vm, 1, True, (), 1))
             elif isinstance(out, StartAttempt):
                 self.started.append(out)
-                self.give(StartReply(out.vm, out.attempt_id, Code.OK))
+                self.send(StartReply(out.vm, out.attempt_id, Code.OK))
 
     def submit(self, count: int, teams: int = 0, prefix: str = "job") -> None:
-        """Hand in batch jobs of one task each."""
+        """Submit `count` batch jobs of one task each, spread over the teams."""
         for index in range(count):
             team = f"team{index % teams}" if teams else "default"
             work = Work(
@@ -109,10 +110,10 @@
                 need=NEED,
                 declared_s=60.0,
             )
-            self.give(Submit(work, "bench#1"))
+            self.send(Submit(work, "bench#1"))
 
     def finish(self) -> None:
-        """Let every running attempt end, many to a report."""
+        """Report the success of all started attempts, several in one poll reply."""
         by_vm: dict[str, list[AttemptReport]] = {}
         for start in self.started:
             report = AttemptReport(
@@ -128,53 +129,54 @@
         for vm, reports in by_vm.items():
             for first in range(0, len(reports), TASKS_PER_POLL):
                 part = tuple(reports[first : first + TASKS_PER_POLL])
-                self.give(PollReply(vm, 1, part, 2))
+                self.send(PollReply(vm, 1, part, 2))
 
 
 def _allocated(build: t.Callable[[int], object], size: int) -> float:
-    """Return the bytes that what `build` returns keeps allocated."""
+    """Return the memory in bytes held by the result of `build(size)`."""
     gc.collect()
     tracemalloc.start()
     try:
         kept = build(size)
         gc.collect()
-        found, _ = tracemalloc.get_traced_memory()
+        allocated, _ = tracemalloc.get_traced_memory()
         del kept
     finally:
         tracemalloc.stop()
-    return float(found)
+    return float(allocated)
 
 
-def _seconds(action: t.Callable[[], object]) -> float:
+def _cpu_seconds(action: t.Callable[[], object]) -> float:
     """Return the processor time of one action in seconds."""
-    began = time.process_time()
+    started_at = time.process_time()
     action()
-    return time.process_time() - began
+    return time.process_time() - started_at
 
 
-def _running(tasks: int) -> _Shard:
-    shard = _Shard(tasks // 40)
+def _shard_with_running_tasks(tasks: int) -> _SimulatedShard:
+    shard = _SimulatedShard(tasks // 40)
     shard.submit(tasks)
     shard.started.clear()
     return shard
 
 
-def _queued(tasks: int) -> _Shard:
-    shard = _Shard(1)
+def _shard_with_waiting_jobs(tasks: int) -> _SimulatedShard:
+    # The only VM has capacity for 64 of the tasks.
+    shard = _SimulatedShard(1)
     shard.submit(tasks + 64)
     shard.started.clear()
     return shard
 
 
-def _answered(tasks: int) -> _Shard:
-    shard = _Shard(tasks // 40)
+def _shard_with_answers(tasks: int) -> _SimulatedShard:
+    shard = _SimulatedShard(tasks // 40)
     shard.submit(tasks)
     shard.finish()
     return shard
 
 
-def _with_teams(teams: int) -> _Shard:
-    shard = _Shard(50, teams)
+def _shard_with_teams(teams: int) -> _SimulatedShard:
+    shard = _SimulatedShard(50, teams)
     shard.submit(teams, teams)
     shard.started.clear()
     return shard
@@ -182,66 +184,66 @@
 
 _MEMORY: dict[str, tuple[t.Callable[[int], object], tuple[int, ...]]] = {
     "configuration, per VM": (_config, WORKERS),
-    "shard, per VM": (_Shard, WORKERS),
-    "shard, per running task": (_running, TASKS),
-    "shard, per waiting job": (_queued, WAITING),
-    "shard, per answer kept": (_answered, TASKS),
-    "shard, per team with one task": (_with_teams, TEAMS),
+    "shard, per VM": (_SimulatedShard, WORKERS),
+    "shard, per running task": (_shard_with_running_tasks, TASKS),
+    "shard, per waiting job": (_shard_with_waiting_jobs, WAITING),
+    "shard, per answer kept": (_shard_with_answers, TASKS),
+    "shard, per team with one task": (_shard_with_teams, TEAMS),
 }
 
 
-def _start_and_end(vms: int) -> float:
-    shard = _Shard(vms)
+def _time_start_and_end(vms: int) -> float:
+    shard = _SimulatedShard(vms)
     count = min(vms * 30, 3000)
 
     def action() -> None:
         shard.submit(count)
         shard.finish()
 
-    return _seconds(action) / count
+    return _cpu_seconds(action) / count
 
 
-def _start_by_team(teams: int) -> float:
-    shard = _Shard(100, teams)
+def _time_start_by_team(teams: int) -> float:
+    shard = _SimulatedShard(100, teams)
 
     def action() -> None:
         shard.submit(2000, teams)
         shard.finish()
 
-    return _seconds(action) / 2000
+    return _cpu_seconds(action) / 2000
 
 
-def _poll(vms: int) -> float:
-    shard = _Shard(vms)
-    names = list(_names(vms))
+def _time_poll(vms: int) -> float:
+    shard = _SimulatedShard(vms)
+    names = list(_vm_names(vms))
 
     def action() -> None:
         for name in names:
-            shard.give(PollReply(name, 1, (), 2))
+            shard.send(PollReply(name, 1, (), 2))
 
-    return _seconds(action) / vms
+    return _cpu_seconds(action) / vms
 
 
-def _names(vms: int) -> t.Iterator[str]:
+def _vm_names(vms: int) -> t.Iterator[str]:
     return (vm.name for vm in _vms(vms))
 
 
-def _tick(vms: int) -> float:
-    shard = _Shard(vms)
+def _time_tick(vms: int) -> float:
+    shard = _SimulatedShard(vms)
 
     def action() -> None:
         for _ in range(20):
             shard.now += 0.1
-            shard.give(Tick())
+            shard.send(Tick())
 
-    return _seconds(action) / 20
+    return _cpu_seconds(action) / 20
 
 
 _TIME: dict[str, tuple[t.Callable[[int], float], tuple[int, ...]]] = {
-    "start and end of a task, by VMs": (_start_and_end, WORKERS),
-    "start and end of a task, by teams": (_start_by_team, TEAMS),
-    "poll without change, by VMs": (_poll, WORKERS),
-    "tick, by VMs": (_tick, WORKERS),
+    "start and end of a task, by VMs": (_time_start_and_end, WORKERS),
+    "start and end of a task, by teams": (_time_start_by_team, TEAMS),
+    "poll without change, by VMs": (_time_poll, WORKERS),
+    "tick, by VMs": (_time_tick, WORKERS),
 }
 
 
--- a/src/poplaryard/bench_tickets.py
+++ b/src/poplaryard/bench_tickets.py
@@ -1,4 +1,4 @@
-"""Benchmarks of change tickets: acceptance, state size, cost, time in force."""
+"""Change-ticket benchmarks: filing rate, state size, step times and rollout time."""
 
 import asyncio
 import json
@@ -29,11 +29,12 @@
 GROUPS = 20
 VMS_PER_GROUP = 950
 _POLL_S = 0.01
+# Time after the last filing in which processes may still put tickets in force.
 _LATE_S = 10.0
 
 
 class _LocalStore:
-    """Store in memory that takes some time per call and counts the calls."""
+    """In-memory store that delays each call and counts the calls by method."""
 
     def __init__(self, delay_s: float):
         self._store = MemoryStore()
@@ -46,8 +47,8 @@
         async def call(*args: t.Any) -> t.Any:
             self.calls[name] += 1
             await asyncio.sleep(self._delay_s)
-            found = method(*args)
-            return await found if asyncio.iscoroutine(found) else found
+            result = method(*args)
+            return await result if asyncio.iscoroutine(result) else result
 
         return call
 
@@ -83,22 +84,25 @@
     return {"kind": "vm_group", "name": f"group-{index:02d}", **size, "vms": vms}
 
 
-async def _whole_state(store: t.Any) -> Acceptance:
-    """File a state of the two-year size, in tickets of at most 100 objects."""
-    filer = Acceptance(store, SystemClock(), 1)
+async def _file_whole_state(store: t.Any) -> Acceptance:
+    """File a state of the size expected in two years and return the `Acceptance`.
+
+    A ticket has at most 100 objects, and each VM group has its own ticket.
+    """
+    acceptance = Acceptance(store, SystemClock(), 1)
     teams = [
         {"kind": "team", "name": f"team-{number:03d}", "weight": 1.0}
         | {"limit_cpu": "640 cores", "limit_memory": "2 TB", "limit_gpus": 64}
         for number in range(TEAMS)
     ]
     services = [_service(f"service-{number:03d}", 3) for number in range(SERVICES)]
-    plain = teams + services
-    chunks = [plain[start : start + 100] for start in range(0, len(plain), 100)]
+    objects = teams + services
+    chunks = [objects[start : start + 100] for start in range(0, len(objects), 100)]
     chunks += [[_group(index)] for index in range(GROUPS)]
     for number, chunk in enumerate(chunks):
-        result = await filer.file(_ticket(f"whole-{number}", *chunk))
+        result = await acceptance.file(_ticket(f"whole-{number}", *chunk))
         assert result.ok, result.detail
-    return filer
+    return acceptance
 
 
 @click.group(name="tickets")
@@ -129,28 +133,28 @@
 ) -> dict[str, t.Any]:
     store: t.Any = _LocalStore(delay_s)
     rng = random.Random(seed)
-    group = [Acceptance(store, SystemClock(), seed + n) for n in range(filers)]
-    took: list[float] = []
+    acceptances = [Acceptance(store, SystemClock(), seed + n) for n in range(filers)]
+    file_ms: list[float] = []
     codes: Counter[str] = Counter()
 
-    async def one(number: int) -> None:
+    async def file_one(number: int) -> None:
         start = time.perf_counter()
         name = f"service-{rng.randrange(SERVICES):03d}"
         item = _ticket(f"uid-{number}", _service(name, rng.randrange(1, 100)))
-        result = await group[number % filers].file(item)
-        took.append((time.perf_counter() - start) * 1000)
+        result = await acceptances[number % filers].file(item)
+        file_ms.append((time.perf_counter() - start) * 1000)
         codes[result.code.name] += 1
 
     began = time.perf_counter()
-    gate = asyncio.Semaphore(filers if not rate else count)
+    limit = asyncio.Semaphore(filers if not rate else count)
 
-    async def gated(number: int) -> None:
-        async with gate:
-            await one(number)
+    async def file_limited(number: int) -> None:
+        async with limit:
+            await file_one(number)
 
     tasks = []
     for number in range(count):
-        tasks.append(asyncio.create_task(gated(number)))
+        tasks.append(asyncio.create_task(file_limited(number)))
         if rate and (number + 1) % burst == 0:
             due = began + (number + 1) / rate
             await asyncio.sleep(max(0.0, due - time.perf_counter()))
@@ -162,7 +166,7 @@
         "codes": dict(codes),
         "store_calls_per_ticket": round(calls / count, 2),
         "calls": dict(store.calls),
-        **_quantiles(took, "file"),
+        **_quantiles(file_ms, "file"),
     }
 
 
@@ -185,7 +189,7 @@
 
 async def _state(rounds: int, seed: int) -> dict[str, t.Any]:
     store: t.Any = _LocalStore(0.0)
-    filer = await _whole_state(store)
+    acceptance = await _file_whole_state(store)
     loader = Loader(store)
     began = time.perf_counter()
     whole = await loader.refresh()
@@ -197,7 +201,7 @@
     snapshot_load_ms = (time.perf_counter() - began) * 1000
     began = time.perf_counter()
     parts = split_snapshot(whole, MAX_VALUE_BYTES)
-    parts_ms = (time.perf_counter() - began) * 1000
+    encode_ms = (time.perf_counter() - began) * 1000
     entries = [await store.get(key) for key in (HEAD_KEY,)]
     sizes = [len(json.dumps(part)) for part in parts]
     groups = [len(json.dumps(_group(index))) for index in range(GROUPS)]
@@ -214,68 +218,68 @@
         "whole_without_vms_bytes": sum(sizes) - sum(groups),
         "load_ms": round(load_ms, 1),
         "load_snapshot_ms": round(snapshot_load_ms, 1),
-        "snapshot_encode_ms": round(parts_ms, 1),
+        "snapshot_encode_ms": round(encode_ms, 1),
         "store_calls_while_filing": dict(calls),
-        **await _costs(filer, whole, rounds, seed),
+        **await _step_times(acceptance, whole, rounds, seed),
     }
 
 
-async def _costs(
-    filer: Acceptance, whole: ConfigState, rounds: int, seed: int
+async def _step_times(
+    acceptance: Acceptance, whole: ConfigState, rounds: int, seed: int
 ) -> dict[str, float]:
-    """Measure each step that one small ticket causes in a process."""
+    """Measure the time of each step that a small ticket causes in a process."""
     rng = random.Random(seed)
-    took: dict[str, list[float]] = {
+    times_ms: dict[str, list[float]] = {
         name: [] for name in ("apply", "head", "load", "push", "adopt", "file")
     }
     watcher, follower = Rollout("p0", "dc1"), Rollout("p1", "dc1")
     for rollout in (watcher, follower):
         rollout.handle(0.0, Members(("p0", "p1", "p2", "p3", "p4", "p5")))
         rollout.handle(0.0, Loaded(whole))
-    loader = Loader(t.cast(t.Any, filer)._store, whole)
+    loader = Loader(t.cast(t.Any, acceptance)._store, whole)
     for number in range(rounds):
         item = _ticket(
             f"more-{number}",
             _service(f"service-{rng.randrange(SERVICES):03d}", rng.randrange(1, 90)),
         )
-        steps = _Steps(took)
+        stopwatch = _Stopwatch(times_ms)
         tickets.apply(watcher.state.config, watcher.number + 1, item)
-        steps.mark("apply")
-        result = await filer.file(item)
+        stopwatch.record("apply")
+        result = await acceptance.file(item)
         assert result.ok, result.detail
-        steps.mark("file")
-        _head, entry = await read_head(t.cast(t.Any, filer)._store)
+        stopwatch.record("file")
+        _head, entry = await read_head(t.cast(t.Any, acceptance)._store)
         text = json.dumps(t.cast(Entry, entry).value)
-        steps.restart()
+        stopwatch.restart()
         head = Head.from_json(json.loads(text))
-        steps.mark("head")
+        stopwatch.record("head")
         loaded = await loader.refresh(head)
-        steps.mark("load")
+        stopwatch.record("load")
         out = watcher.handle(float(number), Loaded(loaded))
         sent = next(item for item in out if isinstance(item, Send))
-        steps.mark("push")
+        stopwatch.record("push")
         follower.handle(float(number), t.cast(PeerDelta, sent.msg))
-        steps.mark("adopt")
+        stopwatch.record("adopt")
         assert follower.state == watcher.state == loaded
     return {
         f"{name}_p50_ms": round(statistics.median(values), 3)
-        for name, values in took.items()
+        for name, values in times_ms.items()
     }
 
 
-class _Steps:
-    """Stopwatch for the steps of one ticket."""
+class _Stopwatch:
+    """Records the times of consecutive steps in milliseconds, by step name."""
 
-    def __init__(self, took: dict[str, list[float]]):
-        self._took = took
+    def __init__(self, times_ms: dict[str, list[float]]):
+        self._times_ms = times_ms
         self.restart()
 
     def restart(self) -> None:
         self._last = time.perf_counter()
 
-    def mark(self, name: str) -> None:
+    def record(self, name: str) -> None:
         now = time.perf_counter()
-        self._took[name].append((now - self._last) * 1000)
+        self._times_ms[name].append((now - self._last) * 1000)
         self._last = time.perf_counter()
 
 
@@ -290,19 +294,30 @@
     servers: str, key: str, count: int, rate: float, burst: int, seed: int
 ) -> None:
     """Measure the time from filing until each process has a ticket in force."""
-    _print(asyncio.run(_Force(servers.split(","), key, seed).run(count, rate, burst)))
+    _print(
+        asyncio.run(
+            _RolloutTimer(servers.split(","), key, seed).run(count, rate, burst)
+        )
+    )
 
 
-class _Force:
-    """Files tickets at a rate and watches the number in force at each process."""
+class _RolloutTimer:
+    """Measures how long tickets take to be in force at each process.
+
+    It files tickets at a fixed rate and polls the number of the ticket in force.
+    """
 
     def __init__(self, servers: list[str], key: str, seed: int):
         self._servers = servers
         self._client = HttpClient(256, key)
         self._rng = random.Random(seed)
         self._seed = seed
+        # Times at which each ticket was sent and accepted, by ticket number.
         self._filed: dict[int, tuple[float, float]] = {}
-        self._seen: dict[str, list[tuple[int, float]]] = {name: [] for name in servers}
+        # Ticket numbers seen in force and the times of first sight, by server.
+        self._observed: dict[str, list[tuple[int, float]]] = {
+            name: [] for name in servers
+        }
         self._codes: Counter[str] = Counter()
         self._file_ms: list[float] = []
 
@@ -316,7 +331,7 @@
                 due = began + (number + 1) / rate
                 await asyncio.sleep(max(0.0, due - time.perf_counter()))
         await asyncio.gather(*tasks)
-        await self._until_all()
+        await self._wait_until_all_in_force()
         for task in watching:
             task.cancel()
         await asyncio.gather(*watching, return_exceptions=True)
@@ -347,33 +362,36 @@
             reply = await self._client.get(f"http://{server}/readyz", 10.0)
             number = reply.body["ticket"]
             if number > last:
-                self._seen[server].append((number, time.perf_counter()))
+                self._observed[server].append((number, time.perf_counter()))
                 last = number
             await asyncio.sleep(_POLL_S)
 
-    async def _until_all(self) -> None:
-        until = time.perf_counter() + _LATE_S
+    async def _wait_until_all_in_force(self) -> None:
+        give_up_at = time.perf_counter() + _LATE_S
         last = max(self._filed, default=0)
-        while time.perf_counter() < until:
-            if all(seen and seen[-1][0] >= last for seen in self._seen.values()):
+        while time.perf_counter() < give_up_at:
+            if all(seen and seen[-1][0] >= last for seen in self._observed.values()):
                 return
             await asyncio.sleep(_POLL_S)
 
     def _figures(self) -> dict[str, t.Any]:
-        answered, filed = [], []
+        after_answer, after_filing = [], []
         for number, (start, accepted) in self._filed.items():
-            reached = [self._reached(seen, number) for seen in self._seen.values()]
-            answered += [max(0.0, at - accepted) * 1000 for at in reached]
-            filed += [(at - start) * 1000 for at in reached]
+            in_force_at = [
+                self._in_force_at(seen, number) for seen in self._observed.values()
+            ]
+            after_answer += [max(0.0, at - accepted) * 1000 for at in in_force_at]
+            after_filing += [(at - start) * 1000 for at in in_force_at]
         return {
             "servers": len(self._servers),
             "accepted": len(self._filed),
             "codes": dict(self._codes),
             **_quantiles(self._file_ms, "file"),
-            **_quantiles(answered, "in_force_after_answer"),
-            **_quantiles(filed, "in_force_after_filing"),
+            **_quantiles(after_answer, "in_force_after_answer"),
+            **_quantiles(after_filing, "in_force_after_filing"),
         }
 
     @staticmethod
-    def _reached(seen: list[tuple[int, float]], number: int) -> float:
-        return next((at for held, at in seen if held >= number), float("inf"))
+    def _in_force_at(seen: list[tuple[int, float]], number: int) -> float:
+        """Return the time at which the ticket was first seen in force, or infinity."""
+        return next((at for in_force, at in seen if in_force >= number), float("inf"))
