--- a/src/poplaryard/bench_driver.py
+++ b/src/poplaryard/bench_driver.py
@@ -36,6 +36,8 @@
         Whether the job fails on every VM.
     sequence : int
         Position of the job in the workload.
+    ok : bool
+        Whether all tasks succeeded.
     remaining_s : float
         Run time left after the last checkpoint, or 0 if there was none.
     """
@@ -124,7 +126,10 @@
         """Handle the end of one task, whose capacity is already free again."""
 
     def step(self, now: float, tick: bool) -> None:
-        """Start, drop or preempt jobs through the cluster."""
+        """Start, drop or preempt jobs; called after each event.
+
+        `tick` tells whether the event is the periodic tick.
+        """
 
 
 @dataclass(slots=True)
