--- a/src/poplaryard/fuzz.py
+++ b/src/poplaryard/fuzz.py
@@ -88,11 +88,11 @@
 
     def _pass(self, seconds: float) -> None:
         world = self.world
-        world.real += seconds
+        world.true_time += seconds
         self.due()
         for worker in world.workers.values():
             if not worker.gone:
-                worker.expire(world.real)
+                worker.expire(world.true_time)
         for node in list(world.nodes.values()):
             if node.alive and not node.paused:
                 node.tick()
@@ -161,7 +161,7 @@
         worker, attempt = self.rng.choice(running)
         states = (AttemptState.SUCCEEDED, AttemptState.FAILED)
         (state,) = self.rng.choices(states, (9, 1))
-        worker.finish(world.real, attempt, state)
+        worker.finish(world.true_time, attempt, state)
         return f"{attempt} {state}"
 
     # Callers
--- a/src/poplaryard/fuzz_faults.py
+++ b/src/poplaryard/fuzz_faults.py
@@ -31,14 +31,14 @@
 
     def due(self) -> None:
         """Carry out the changes whose time has come."""
-        now = self.world.real
+        now = self.world.true_time
         due = [change for at, change in self._later if at <= now]
         self._later = [item for item in self._later if item[0] > now]
         for change in due:
             change()
 
     def _after(self, low: float, high: float, change: t.Callable[[], t.Any]) -> None:
-        at = self.world.real + self.rng.uniform(low, high)
+        at = self.world.true_time + self.rng.uniform(low, high)
         self._later.append((at, change))
 
     def _node(self) -> Node | None:
@@ -206,7 +206,7 @@
         if self.rng.random() < 0.5:
             worker.leaving = True
         else:
-            self.world.leave_worker(worker.name)
+            self.world.mark_leaving(worker.name)
         return worker.name
 
     def worker_comes(self) -> str | None:
@@ -224,7 +224,7 @@
         worker = self._worker()
         if worker is None:
             return None
-        worker.fail(self.world.real)
+        worker.fail(self.world.true_time)
         if self.rng.random() < 0.5:
             return worker.name
         dc = worker.name.partition("-")[0]
--- a/src/poplaryard/fuzz_node.py
+++ b/src/poplaryard/fuzz_node.py
@@ -60,7 +60,7 @@
 COPY_S = 20.0
 
 # Intervals at which a process reads the VM list, which so lags behind.
-LIST_S = (1.0, 2.0, 8.0)
+LIST_INTERVALS_S = (1.0, 2.0, 8.0)
 POLLS_MISSED = 3
 
 
@@ -113,14 +113,14 @@
         # VMs as this process last read them, and the last time that one left a shard.
         self._listed = world.listed(dc)
         self._listed_since: dict[str, float] = {}
-        self._list_s = rng.choice(LIST_S)
+        self._list_s = rng.choice(LIST_INTERVALS_S)
         self._list_at = 0.0
         world.weaken(self)
         self.give(ShardsConfigured(world.shards(dc), 1))
 
     def now(self) -> float:
         """Return the process's own monotonic clock."""
-        return self.offset + self.world.real * self.rate
+        return self.offset + self.world.true_time * self.rate
 
     def wall(self) -> float:
         """Return the process's wall clock."""
--- a/src/poplaryard/fuzz_store.py
+++ b/src/poplaryard/fuzz_store.py
@@ -34,23 +34,23 @@
         self.calls = 0
         self._leases: dict[str, float] = {}
 
-    def live(self, real: float) -> frozenset[str]:
+    def live(self, true_time: float) -> frozenset[str]:
         """Return the leases that have not ended."""
-        now = real * self.rate
+        now = true_time * self.rate
         ended = [k for k, until in self._leases.items() if until <= now]
         for lease in ended:
             del self._leases[lease]
         return frozenset(self._leases)
 
-    def seen(self, real: float) -> RecordSeen:
+    def seen(self, true_time: float) -> RecordSeen:
         """Return the record as a watch reports it."""
-        return RecordSeen(self.record, self.version, self.live(real))
+        return RecordSeen(self.record, self.version, self.live(true_time))
 
-    def handle(self, real: float, message: t.Any, sent_at: float) -> t.Any:
+    def handle(self, true_time: float, message: t.Any, sent_at: float) -> t.Any:
         """Carry out a call; `sent_at` is the caller's own time of sending."""
         self.calls += 1
-        live = self.live(real)
-        until = real * self.rate
+        live = self.live(true_time)
+        until = true_time * self.rate
         if isinstance(message, GrantLease):
             lease = f"lease{self.calls}"
             self._leases[lease] = until + message.ttl_s
@@ -64,7 +64,7 @@
             self._leases.pop(message.lease, None)
             return None
         if isinstance(message, ReadRecord):
-            return self.seen(real)
+            return self.seen(true_time)
         return self._write(message)
 
     def _write(self, message: WriteRecord) -> t.Any:
--- a/src/poplaryard/fuzz_worker.py
+++ b/src/poplaryard/fuzz_worker.py
@@ -80,43 +80,43 @@
         self._attempts: dict[str, _Attempt] = {}
         oracle.vm(name, capacity)
 
-    def clock(self, real: float) -> float:
+    def clock(self, true_time: float) -> float:
         """Return the worker's own clock."""
-        return self.offset + real * self.rate
+        return self.offset + true_time * self.rate
 
-    def handle(self, real: float, message: t.Any) -> list[t.Any]:
+    def handle(self, true_time: float, message: t.Any) -> list[t.Any]:
         """Take a call and return the replies."""
-        self.expire(real)
+        self.expire(true_time)
         if isinstance(message, ClaimWorker):
-            return [self._claim(real, message)]
+            return [self._claim(true_time, message)]
         if isinstance(message, StartAttempt):
-            return [self._start(real, message)]
+            return [self._start(true_time, message)]
         if isinstance(message, StopAttempt):
-            self._stop(real, message)
+            self._stop(true_time, message)
             return []
-        return [self._poll(real, message)]
+        return [self._poll(true_time, message)]
 
     def running(self) -> list[str]:
         """Return the ids of the attempts that run."""
         found = self._attempts.items()
         return [k for k, item in found if item.state is AttemptState.RUNNING]
 
-    def finish(self, real: float, attempt_id: str, state: AttemptState) -> None:
+    def finish(self, true_time: float, attempt_id: str, state: AttemptState) -> None:
         """End an attempt."""
         item = self._attempts[attempt_id]
         item.state = state
-        item.ended_at = self.clock(real)
+        item.ended_at = self.clock(true_time)
         work = item.start.work
         item.body = f"{work.request_id}/{item.start.task}"
         again = state is AttemptState.CHECKPOINTED
         self._oracle.ended(self.name, work, item.start.task, item.need, again)
 
-    def expire(self, real: float) -> None:
+    def expire(self, true_time: float) -> None:
         """Stop attempts whose lease has ended (G4)."""
-        now = self.clock(real)
+        now = self.clock(true_time)
         for attempt_id in self.running():
             if self._attempts[attempt_id].lease_until <= now:
-                self.finish(real, attempt_id, AttemptState.STOPPED)
+                self.finish(true_time, attempt_id, AttemptState.STOPPED)
         old = [
             k
             for k, item in self._attempts.items()
@@ -125,20 +125,20 @@
         for attempt_id in old:
             del self._attempts[attempt_id]
 
-    def fail(self, real: float) -> None:
+    def fail(self, true_time: float) -> None:
         """Lose the VM with everything on it."""
         for attempt_id in self.running():
-            self.finish(real, attempt_id, AttemptState.STOPPED)
+            self.finish(true_time, attempt_id, AttemptState.STOPPED)
         self.gone = True
 
     def _fenced(self, epoch: int) -> bool:
         return epoch < self._epoch and "epoch" not in self._without
 
-    def _claim(self, real: float, message: ClaimWorker) -> ClaimReply:
+    def _claim(self, true_time: float, message: ClaimWorker) -> ClaimReply:
         if self._fenced(message.epoch):
             return ClaimReply(self.name, self._epoch, False)
         self._epoch = max(self._epoch, message.epoch)
-        clock_ms = int(self.clock(real) * 1000)
+        clock_ms = int(self.clock(true_time) * 1000)
         return ClaimReply(
             self.name, message.epoch, True, self._reports(), clock_ms, self.leaving
         )
@@ -146,40 +146,40 @@
     def _reports(self) -> tuple[AttemptReport, ...]:
         return tuple(map(_report, self._attempts.values()))
 
-    def _start(self, real: float, message: StartAttempt) -> StartReply:
-        code = self._refusal(real, message)
+    def _start(self, true_time: float, message: StartAttempt) -> StartReply:
+        code = self._refusal(true_time, message)
         if code is None:
-            self._begin(real, message)
+            self._begin(true_time, message)
         return StartReply(self.name, message.attempt_id, code or Code.OK)
 
-    def _refusal(self, real: float, message: StartAttempt) -> Code | None:
+    def _refusal(self, true_time: float, message: StartAttempt) -> Code | None:
         # Checked first: a late copy of a start that has begun is not "not run".
         if message.attempt_id in self._attempts and "attempt_id" not in self._without:
             return Code.ATTEMPT_REPEATED
         if self._fenced(message.epoch):
             return Code.STALE_EPOCH
-        late = self.clock(real) * 1000 > message.valid_until_ms
+        late = self.clock(true_time) * 1000 > message.valid_until_ms
         if late and "valid_until" not in self._without:
             return Code.START_EXPIRED
         return None
 
-    def _begin(self, real: float, message: StartAttempt) -> None:
-        until = self.clock(real) + TASK_LEASE_S
+    def _begin(self, true_time: float, message: StartAttempt) -> None:
+        until = self.clock(true_time) + TASK_LEASE_S
         item = _Attempt(message, message.work.need, until)
         self._attempts[message.attempt_id] = item
         work = message.work
         attempt = message.attempt_id
         self._oracle.began(self.name, work, message.task, item.need, attempt)
 
-    def _stop(self, real: float, message: StopAttempt) -> None:
+    def _stop(self, true_time: float, message: StopAttempt) -> None:
         if self._fenced(message.epoch) or message.attempt_id not in self.running():
             return
         kept = message.mode is StopMode.CHECKPOINT
         state = AttemptState.CHECKPOINTED if kept else AttemptState.STOPPED
-        self.finish(real, message.attempt_id, state)
+        self.finish(true_time, message.attempt_id, state)
 
-    def _poll(self, real: float, message: PollWorker) -> PollReply:
-        clock = self.clock(real)
+    def _poll(self, true_time: float, message: PollWorker) -> PollReply:
+        clock = self.clock(true_time)
         if not self._fenced(message.epoch):
             self._epoch = max(self._epoch, message.epoch)
             self._renew(clock, message)
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -95,7 +95,7 @@
         self.without = without
         self.real_scheduler = real_scheduler
         self.oracle = Oracle()
-        self.real = 0.0
+        self.true_time = 0.0
         self.list_up = True
         self.slow_store = False
         self.pool: list[_Item] = []
@@ -123,7 +123,7 @@
 
     def wall(self) -> float:
         """Return true wall-clock time."""
-        return WALL + self.real
+        return WALL + self.true_time
 
     def next_id(self) -> int:
         """Return a number that was not used before."""
@@ -204,11 +204,14 @@
 
     def note(self, action: str, detail: t.Any) -> None:
         """Add an action to the trace."""
-        self._trace.append((self.real, action, detail))
+        self._trace.append((self.true_time, action, detail))
 
     def lines(self) -> list[str]:
         """Return the trace as text."""
-        return [f"{real:9.3f} {action} {what}" for real, action, what in self._trace]
+        return [
+            f"{true_time:9.3f} {action} {what}"
+            for true_time, action, what in self._trace
+        ]
 
     def send(self, sender: str, to: str, message: t.Any) -> None:
         """Put a message among the undelivered ones."""
@@ -243,14 +246,14 @@
         if store.down:
             reply = None
         else:
-            reply = store.handle(self.real, item.message, item.sent_at)
+            reply = store.handle(self.true_time, item.message, item.sent_at)
         self.pool.append(_Item(item.to, item.sender, _StoreReply(reply), item.call_id))
 
     def _deliver_worker(self, item: _Item) -> None:
         worker = self.workers[item.to]
         if worker.gone:
             return
-        for reply in worker.handle(self.real, item.message):
+        for reply in worker.handle(self.true_time, item.message):
             self.send(item.to, item.sender, reply)
 
     def _deliver_node(self, node: Node, item: _Item) -> None:
@@ -292,7 +295,7 @@
 
     # VMs
 
-    def leave_worker(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Let the platform's list say that a VM is leaving."""
         spec, _ = self._vms[name]
         self._vms[name] = spec, True
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -9,7 +9,7 @@
 import random
 
 from poplaryard.codes import Outcome
-from poplaryard.fuzz_node import LIST_S
+from poplaryard.fuzz_node import LIST_INTERVALS_S
 from poplaryard.fuzz_world import World
 from poplaryard.messages import (
     Answer,
@@ -109,8 +109,8 @@
 
     def run(self, seconds, until=None):
         """Deliver messages in order for a time; stop before one that `until` names."""
-        end = self.world.real + seconds
-        while self.world.real < end:
+        end = self.world.true_time + seconds
+        while self.world.true_time < end:
             if self._deliver_all(until):
                 return True
             self._pass()
@@ -135,10 +135,10 @@
 
     def _pass(self):
         world = self.world
-        world.real += STEP_S
+        world.true_time += STEP_S
         for worker in world.workers.values():
             if not worker.gone:
-                worker.expire(world.real)
+                worker.expire(world.true_time)
                 self._finish(worker)
         for node in self.live():
             if not node.paused:
@@ -151,7 +151,7 @@
         cut = frozenset((_place(node.name), place)) in self.world.cuts
         if not node.watching or store.down or cut:
             return
-        seen = store.seen(self.world.real)
+        seen = store.seen(self.world.true_time)
         if self._seen.get(node.name) != (seen.version, seen.live):
             self._seen[node.name] = seen.version, seen.live
             node.give(seen)
@@ -160,9 +160,9 @@
         if not self.finishing:
             return
         for attempt in worker.running():
-            first = self._held_until.setdefault(attempt, self.world.real + 0.5)
-            if self.world.real >= first:
-                worker.finish(self.world.real, attempt, AttemptState.SUCCEEDED)
+            first = self._held_until.setdefault(attempt, self.world.true_time + 0.5)
+            if self.world.true_time >= first:
+                worker.finish(self.world.true_time, attempt, AttemptState.SUCCEEDED)
 
     def settle(self):
         """Let every caller ask again until each has a final answer."""
@@ -331,7 +331,7 @@
 
 def _vm_fails(cell):
     worker = _busy_worker(cell)
-    worker.fail(cell.world.real)
+    worker.fail(cell.world.true_time)
     cell.world.unlist_worker(worker.name)
     cell.world.add_worker(f"dc1-vm{cell.world.next_id() + 100}", "dc1")
     return _nothing
@@ -339,12 +339,12 @@
 
 def _vm_fails_list_lags(cell):
     worker = _busy_worker(cell)
-    worker.fail(cell.world.real)
+    worker.fail(cell.world.true_time)
     return lambda: cell.world.unlist_worker(worker.name)
 
 
 def _vm_leaves(cell):
-    cell.world.leave_worker(_busy_worker(cell).name)
+    cell.world.mark_leaving(_busy_worker(cell).name)
     return _nothing
 
 
@@ -551,7 +551,7 @@
     cell.settle()
     # After a take-over, ids issued up to the clock-skew allowance after this process
     # has read that an unclaimed VM left are answered "unknown".
-    cell.run(SKEW_S + max(LIST_S) + 1.0)
+    cell.run(SKEW_S + max(LIST_INTERVALS_S) + 1.0)
     cell.submit("after")
     cell.settle()
     return cell.outcomes.get("r1"), cell.outcomes.get("after")
