--- a/src/poplaryard/demo.py
+++ b/src/poplaryard/demo.py
@@ -1,4 +1,4 @@
-"""Demonstration of a whole cell in one process; see `demo` for what it shows."""
+"""Demonstration of a cell in one process: the command ``demo``."""
 
 import asyncio
 import sys
@@ -16,11 +16,16 @@
 __all__ = ["demo"]
 
 DATA_CENTRES = ("dc1", "dc2", "dc3")
+# Entry applications in each data centre.
 ENTRIES = 2
+# Shards in each data centre.
 SHARDS = 1
+# Requests to each service.
 ROUNDS = 25
-# Gap between the rounds of each service, which spreads the run over the events.
+# Gap between the requests to a service, so that requests are sent before, between and
+# after the second ticket and the failure of a worker.
 GAP_S = 0.12
+# Rounds after which the second ticket is filed and a worker fails.
 TICKET_ROUND = 6
 FAILURE_ROUND = 12
 EXIT_FAILED = 1
@@ -45,23 +50,24 @@
 
 
 class _Results:
-    """Answers by service."""
+    """Counts of requests and complete answers by service, and problems found."""
 
     def __init__(self) -> None:
-        self.asked: Counter[str] = Counter()
-        self.whole: Counter[str] = Counter()
+        self.requests: Counter[str] = Counter()
+        self.complete: Counter[str] = Counter()
         self.problems: list[str] = []
 
     def record(self, name: str, body: dict[str, t.Any], reply: t.Any) -> None:
-        """Count an answer; one that is not whole is a problem."""
-        self.asked[name] += 1
-        if _whole(body, reply):
-            self.whole[name] += 1
+        """Count a request; an incomplete answer is a problem."""
+        self.requests[name] += 1
+        if _is_complete(body, reply):
+            self.complete[name] += 1
         else:
             self.problems.append(f"{name} {body['id']}: {reply}")
 
 
-def _whole(body: dict[str, t.Any], reply: t.Any) -> bool:
+def _is_complete(body: dict[str, t.Any], reply: t.Any) -> bool:
+    """Return whether every task answered, with the payload of this request."""
     if not isinstance(reply, dict) or reply.get("code") != Code.OK:
         return False
     parts = reply["parts"]
@@ -69,10 +75,10 @@
     return echoes == [body["payload"]["echo"]] * body.get("tasks", 1)
 
 
-async def _ask(
+async def _send(
     cell: Cell, results: _Results, name: str, path: str, body: dict[str, t.Any]
 ) -> None:
-    app = cell.apps[hash_of(body["id"]) % len(cell.apps)]
+    app = cell.apps[_id_hash(body["id"]) % len(cell.apps)]
     try:
         reply = (await cell.post(app, path, body)).body
     except PoplaryardError as exc:
@@ -80,8 +86,8 @@
     results.record(name, body, reply)
 
 
-def hash_of(text: str) -> int:
-    """Return a number that spreads ids over the entries."""
+def _id_hash(text: str) -> int:
+    """Return a number by which requests are spread over the entries."""
     return sum(text.encode())
 
 
@@ -92,7 +98,7 @@
         "payload": {"run_ms": 20, "echo": f"{shape.name}/{number}"},
     }
     if shape.name == "booking" and number % 3 == 0:
-        # A pass confirmation: at most once, and one at a time per pass.
+        # A pass confirmation runs at most once, and one at a time for each pass.
         body["idempotent"] = False
         body["issued_at"] = SystemClock().wall()
         body["exclusive_key"] = f"pass-{number % 4}"
@@ -112,23 +118,25 @@
     }
 
 
-async def _callers(cell: Cell, results: _Results, shape: ServiceShape) -> None:
+async def _call_service(cell: Cell, results: _Results, shape: ServiceShape) -> None:
+    """Send the requests to one service and wait for their answers."""
     calls = []
     for number in range(ROUNDS):
         body = _request(shape, number)
-        call = _ask(cell, results, shape.name, "/v1/requests", body)
+        call = _send(cell, results, shape.name, "/v1/requests", body)
         calls.append(asyncio.create_task(call))
         await asyncio.sleep(GAP_S)
     await asyncio.gather(*calls)
 
 
-async def _jobs(cell: Cell, results: _Results) -> None:
+async def _submit_jobs(cell: Cell, results: _Results) -> None:
     bodies = [_job(number) for number in range(4)]
-    calls = (_ask(cell, results, "batch jobs", "/v1/jobs", body) for body in bodies)
+    calls = (_send(cell, results, "batch jobs", "/v1/jobs", body) for body in bodies)
     await asyncio.gather(*calls)
 
 
-async def _events(cell: Cell, lines: list[str]) -> None:
+async def _run_events(cell: Cell, lines: list[str]) -> None:
+    """File the second ticket and fail a worker while requests are sent."""
     await asyncio.sleep(TICKET_ROUND * GAP_S)
     clock = SystemClock()
     filed_at = clock.now()
@@ -148,50 +156,52 @@
 
 
 async def run_demo() -> tuple[bool, list[str]]:
-    """Run the demonstration; return whether every answer was whole, and a summary."""
+    """Return whether all answers of a demonstration were complete, and a summary."""
     cell = Cell(DATA_CENTRES, ENTRIES, SHAPES, SHARDS)
     lines: list[str] = []
     results = _Results()
     await cell.start()
     try:
-        lines.append(_sizes(cell))
+        lines.append(_describe_cell(cell))
         reply = await cell.file(cell.apps[0], cell.first_ticket())
         if reply.status != 200 or not await cell.wait_ready(1):
             return False, [*lines, f"The first ticket is not in force: {reply.body}"]
-        calls = [_callers(cell, results, shape) for shape in SHAPES]
-        await asyncio.gather(*calls, _jobs(cell, results), _events(cell, lines))
+        calls = [_call_service(cell, results, shape) for shape in SHAPES]
+        await asyncio.gather(
+            *calls, _submit_jobs(cell, results), _run_events(cell, lines)
+        )
     finally:
         await cell.stop()
     lines += _summary(cell, results)
-    return _complete(results), lines
+    return _all_complete(results), lines
 
 
-def _sizes(cell: Cell) -> str:
+def _describe_cell(cell: Cell) -> str:
     return (
         f"{len(DATA_CENTRES)} data centres, {len(cell.apps)} entry applications, "
         f"{len(cell.workers())} workers, {len(SHAPES)} services."
     )
 
 
-def _complete(results: _Results) -> bool:
+def _all_complete(results: _Results) -> bool:
     expected = len(SHAPES) * ROUNDS + 4
-    asked, whole = sum(results.asked.values()), sum(results.whole.values())
-    return asked == whole == expected
+    total, complete = sum(results.requests.values()), sum(results.complete.values())
+    return total == complete == expected
 
 
 def _summary(cell: Cell, results: _Results) -> list[str]:
     lines = [
-        f"{name}: {results.whole[name]} of {asked} callers got their whole answer."
-        for name, asked in sorted(results.asked.items())
+        f"{name}: {results.complete[name]} of {total} callers got their whole answer."
+        for name, total in sorted(results.requests.items())
     ]
     records = [record for vm in cell.workers() for record in vm.records]
     by_request = Counter(
         record.request_id for record in records if record.exclusive_key
     )
-    twice = sum(count > 1 for count in by_request.values())
+    repeated = sum(count > 1 for count in by_request.values())
     overcommits = sum(vm.overcommits for vm in cell.workers())
     lines.append(
-        f"{len(by_request)} pass confirmations ran, {twice} of them more than once."
+        f"{len(by_request)} pass confirmations ran, {repeated} of them more than once."
     )
     lines.append(f"Starts that would have overfilled a worker: {overcommits}.")
     return lines + results.problems
@@ -199,10 +209,10 @@
 
 @click.command()
 def demo() -> None:
-    """Show a cell of three data centres at work, in this process alone.
+    """Run a cell of three data centres in this process.
 
-    A ticket is changed and a worker fails while callers are served. Exits with 0 only
-    if every caller got its whole answer.
+    A ticket changes a service and a worker fails while callers are served. Exits with 0
+    only if every caller got its whole answer.
     """
     complete, lines = asyncio.run(run_demo())
     for line in lines:
--- a/src/poplaryard/standin_worker_http.py
+++ b/src/poplaryard/standin_worker_http.py
@@ -1,4 +1,4 @@
-"""HTTP routes and command of the worker stand-in."""
+"""HTTP server of the worker stand-ins."""
 
 import asyncio
 import dataclasses
@@ -22,17 +22,22 @@
 
 _clock = SystemClock()
 
-# Time for which a dropped reply is withheld; longer than any caller waits for it.
+# Time for which a dropped reply is withheld; longer than any caller waits for one.
 HANG_S = 30.0
 EXPIRY_PERIOD_S = 0.25
 
 
 class WorkerHost:
-    """Serves many workers, each on an address of its own.
+    """HTTP server of many workers, each on a port of its own.
 
     Parameters
     ----------
     vms : sequence of WorkerVm
+
+    Attributes
+    ----------
+    calls : Counter
+        POST calls received, by the last segment of their path.
     """
 
     def __init__(self, vms: t.Sequence[WorkerVm]):
@@ -46,7 +51,7 @@
         """Serve each worker on a port of its own; return the addresses by name."""
         self._server = HttpServer(self.app, host, port, len(self.vms), graceful_s=0.1)
         await self._server.start()
-        self._expiry = asyncio.create_task(self._expire())
+        self._expiry = asyncio.create_task(self._expire_leases())
         ports = self._server.ports
         return {
             name: f"{host}:{number}"
@@ -61,17 +66,19 @@
             await self._server.stop()
 
     def _routes(self) -> list[Route]:
-        calls = {
+        handlers = {
             "/worker/v1/claim": self._claim,
             "/worker/v1/start": self._start,
             "/worker/v1/stop": self._stop,
             "/worker/v1/poll": self._poll,
             "/standin/fault": self._fault,
         }
-        routes = [Route(path, call, methods=["POST"]) for path, call in calls.items()]
+        routes = [
+            Route(path, handler, methods=["POST"]) for path, handler in handlers.items()
+        ]
         return [*routes, Route("/standin/record", self._record, methods=["GET"])]
 
-    async def _expire(self) -> None:
+    async def _expire_leases(self) -> None:
         while True:
             await asyncio.sleep(EXPIRY_PERIOD_S)
             for vm in self.vms.values():
@@ -80,36 +87,36 @@
 
     async def _claim(self, request: Request) -> Response:
         body = await self._body(request)
-        vm = await self._vm(body["vm"])
+        vm = await self._unpaused_vm(body["vm"])
         if vm is None:
             return _no_such_vm(body["vm"])
         reply = vm.claim(int(body["epoch"]))
-        return await self._answer(vm, wire.encode(reply, _clock.now()))
+        return await self._respond(vm, wire.encode(reply, _clock.now()))
 
     async def _start(self, request: Request) -> Response:
         body = await self._body(request)
         now = _clock.now()
         starts = [wire.decode_as(StartAttempt, item, now) for item in body["starts"]]
-        vm = await self._vm(starts[0].vm) if starts else None
+        vm = await self._unpaused_vm(starts[0].vm) if starts else None
         if vm is None:
             return _no_such_vm(starts[0].vm if starts else "")
         replies = [wire.encode(vm.start(start), now) for start in starts]
-        return await self._answer(vm, {"replies": replies})
+        return await self._respond(vm, {"replies": replies})
 
     async def _stop(self, request: Request) -> Response:
         body = await self._body(request)
         now = _clock.now()
         stops = [wire.decode_as(StopAttempt, item, now) for item in body["stops"]]
-        vm = await self._vm(stops[0].vm) if stops else None
+        vm = await self._unpaused_vm(stops[0].vm) if stops else None
         if vm is None:
             return _no_such_vm(stops[0].vm if stops else "")
         for stop in stops:
             vm.stop(stop)
-        return await self._answer(vm, {})
+        return await self._respond(vm, {})
 
     async def _poll(self, request: Request) -> Response:
         body = await self._body(request)
-        vm = await self._vm(body["vm"])
+        vm = await self._unpaused_vm(body["vm"])
         if vm is None:
             return _no_such_vm(body["vm"])
         reply, number = await vm.poll(
@@ -118,12 +125,13 @@
             float(body["wait_s"]),
             Renewal(int(body["valid_until_ms"]), int(body["exclusive_until_ms"])),
         )
-        await self._vm(vm.name)
-        found = wire.encode(reply, _clock.now())
-        return await self._answer(vm, {"reply": found, "number": number})
+        # A worker that was paused during the poll replies only after the pause.
+        await self._unpaused_vm(vm.name)
+        encoded = wire.encode(reply, _clock.now())
+        return await self._respond(vm, {"reply": encoded, "number": number})
 
     async def _fault(self, request: Request) -> Response:
-        """Set faults of one worker, or of all if no name is given."""
+        """Change faults of one worker, or of all if no name is given."""
         body = await self._body(request)
         name = body.pop("vm", "")
         chosen = [self.vms[name]] if name else list(self.vms.values())
@@ -132,24 +140,29 @@
         return JSONResponse({"vms": len(chosen)})
 
     async def _record(self, request: Request) -> Response:
-        found = [dataclasses.asdict(r) for vm in self.vms.values() for r in vm.records]
+        """Return the run records, overcommits and calls of all workers."""
+        records = [
+            dataclasses.asdict(r) for vm in self.vms.values() for r in vm.records
+        ]
         overcommits = sum(vm.overcommits for vm in self.vms.values())
         return JSONResponse(
-            {"records": found, "overcommits": overcommits, "calls": self.calls}
+            {"records": records, "overcommits": overcommits, "calls": self.calls}
         )
 
     async def _body(self, request: Request) -> t.Any:
+        """Count the call and return its decoded JSON body."""
         self.calls[request.url.path.rpartition("/")[2]] += 1
         return json.loads(await request.body())
 
-    async def _vm(self, name: str) -> WorkerVm | None:
-        """Return a worker, after waiting while it is paused."""
+    async def _unpaused_vm(self, name: str) -> WorkerVm | None:
+        """Return a worker once it is not paused, or None if there is none."""
         vm = self.vms.get(name)
         if vm is not None:
             await vm.resumed.wait()
         return vm
 
-    async def _answer(self, vm: WorkerVm, body: t.Any) -> Response:
+    async def _respond(self, vm: WorkerVm, body: t.Any) -> Response:
+        """Return the response, after `HANG_S` if the reply is to be dropped."""
         if vm.faults.drop_replies > 0:
             vm.faults.drop_replies -= 1
             await asyncio.sleep(HANG_S)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -12,7 +12,7 @@
 
 class DemoTest(testtools.TestCase):
     def test_every_caller_gets_its_whole_answer(self):
-        """Guards against a demo that fails, or that shows less than it says."""
+        """Guards against a demo that loses answers or skips its events."""
         with contextlib.redirect_stderr(io.StringIO()):
             complete, lines = asyncio.run(asyncio.wait_for(run_demo(), 60))
         text = "\n".join(lines)
@@ -31,8 +31,8 @@
             self.patch(demo_module, "run_demo", lambda complete=complete: run(complete))
             self.assertEqual(status, CliRunner().invoke(demo).exit_code)
 
-    def test_partial_and_foreign_answers_are_not_whole(self):
-        """Guards against answers with a part missing or of another request."""
+    def test_partial_and_foreign_answers_are_not_complete(self):
+        """Guards against counting partial answers and those of other requests."""
         body = {"id": "r", "tasks": 2, "payload": {"echo": 1}}
         good = {"code": Code.OK, "parts": [{"echo": 1}, {"echo": 1}]}
         results = _Results()
@@ -40,4 +40,4 @@
             results.record("s", body, reply)
         foreign = {**good, "parts": [{"echo": 1}, {"echo": 2}]}
         results.record("s", body, foreign)
-        self.assertEqual((5, 1), (results.asked["s"], results.whole["s"]))
+        self.assertEqual((5, 1), (results.requests["s"], results.complete["s"]))
--- a/tests/test_standin_worker.py
+++ b/tests/test_standin_worker.py
@@ -15,7 +15,7 @@
 from poplaryard.standin_worker import CONNECTIONS, SLOTS, Faults, WorkerVm
 from poplaryard.workers import Renewal
 
-FULL = Resources(16_000, 32_768, 0)
+CAPACITY = Resources(16_000, 32_768, 0)
 
 
 class Clock:
@@ -36,13 +36,13 @@
     def setUp(self):
         super().setUp()
         self.clock = Clock()
-        self.vm = WorkerVm("vm", FULL, self.clock)
+        self.vm = WorkerVm("vm", CAPACITY, self.clock)
 
     def code(self, *args, **fields):
         return self.vm.start(start(*args, **fields)).code
 
     def test_lower_epochs_are_refused(self):
-        """Guards against a stand-in without G1, which leaves take-over untested."""
+        """Guards against a stand-in that obeys an old owner after a take-over (G1)."""
         self.assertTrue(self.vm.claim(2).accepted)
         self.assertEqual(Code.STALE_EPOCH, self.code(epoch=1))
         self.assertFalse(self.vm.claim(1).accepted)
@@ -50,22 +50,22 @@
         self.assertEqual(Code.OK, self.code(epoch=1))
 
     def test_late_and_repeated_starts_are_refused(self):
-        """Guards against a stand-in without G2 and G3."""
+        """Guards against a stand-in that starts late, or one attempt twice (G2, G3)."""
         self.assertEqual(Code.START_EXPIRED, self.code(valid_until_ms=99_999))
         self.assertEqual(Code.OK, self.code())
         self.assertEqual(Code.ATTEMPT_REPEATED, self.code())
 
     def test_an_overfilling_start_is_refused_and_counted(self):
-        """Guards against a broken P1 that no record shows."""
-        self.assertEqual(Code.OK, self.code(need=FULL))
+        """Guards against overcommitment (P1) that the run records do not show."""
+        self.assertEqual(Code.OK, self.code(need=CAPACITY))
         self.assertEqual(Code.WORKER_FULL, self.code("a2", need=Resources(1)))
         self.assertEqual(1, self.vm.overcommits)
 
     def test_tasks_end_with_their_lease(self):
-        """Guards against a stand-in without G4."""
-        asyncio.run(self._lease())
+        """Guards against tasks that run on without a lease (G4)."""
+        asyncio.run(self._check_lease())
 
-    async def _lease(self):
+    async def _check_lease(self):
         self.code()
         self.clock.now += 3.0
         await self.vm.poll(1, 0, 0.0)
@@ -77,7 +77,11 @@
         self.assertEqual("stopped", self.vm.records[0].state)
 
     def test_a_late_poll_renews_nothing(self):
-        """Guards against a paused owner's poll after a successor's wait (P2)."""
+        """Guards against a lease that a paused owner renews too late.
+
+        Its successor has waited for the lease to end and may run the exclusive key
+        again (P2).
+        """
 
         async def poll():
             self.code("a1")
@@ -92,8 +96,8 @@
 
         asyncio.run(poll())
 
-    def test_claims_tell_running_and_ended_attempts(self):
-        """Guards against a stand-in without G5."""
+    def test_claims_report_running_and_ended_attempts(self):
+        """Guards against a claim that omits attempts or never forgets them (G5)."""
         self.code("a1")
         self.code("a2")
         self.vm.stop(StopAttempt("vm", "a1", 1, StopMode.CHECKPOINT))
@@ -105,10 +109,10 @@
         self.assertEqual(1, len(self.vm.claim(2).attempts))
 
     def test_reports_are_kept_until_they_are_acknowledged(self):
-        """Guards against an answer lost with the reply to a poll."""
-        asyncio.run(self._reports())
+        """Guards against a report lost because the reply to a poll was lost."""
+        asyncio.run(self._check_reports())
 
-    async def _reports(self):
+    async def _check_reports(self):
         self.code()
         self.vm.stop(StopAttempt("vm", "a1", 1))
         for _ in range(2):
@@ -124,20 +128,20 @@
 
     def test_a_claim_ends_the_poll_of_the_old_owner(self):
         """Guards against an old owner that renews leases after a take-over."""
-        asyncio.run(self._claimed())
+        asyncio.run(self._check_claim())
 
-    async def _claimed(self):
+    async def _check_claim(self):
         poll = asyncio.create_task(self.vm.poll(1, 0, 60.0))
         await asyncio.sleep(0)
         self.vm.claim(2)
         reply, _ = await asyncio.wait_for(poll, 10.0)
         self.assertEqual(2, reply.epoch)
 
-    def test_executors_have_slots_and_connections(self):
-        """Guards against an executor that takes any number of requests."""
-        asyncio.run(self._executor())
+    def test_executors_limit_slots_and_connections(self):
+        """Guards against an executor that accepts any number of requests."""
+        asyncio.run(self._check_executor())
 
-    async def _executor(self):
+    async def _check_executor(self):
         self.assertEqual(Code.WORKER_FULL, self.code("r", executor="gone"))
         self.code("e1")
         payload = {"run_ms": 60_000}
@@ -154,10 +158,10 @@
         self.vm.stop(StopAttempt("vm", "e1", 1))
 
     def test_failing_and_paused_workers(self):
-        """Guards against faults that leave no trace in the answer."""
-        asyncio.run(self._faults())
+        """Guards against set faults that have no effect."""
+        asyncio.run(self._check_faults())
 
-    async def _faults(self):
+    async def _check_faults(self):
         self.vm.set_faults(Faults(fail_all=True))
         self.code("e1")
         self.code("q1", executor="e1", payload={"echo": 1})
