--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -1,4 +1,4 @@
-"""Application object of a process: accepts jobs and owns groups of workers."""
+"""Scheduler process: accepts jobs and owns groups of workers."""
 
 import asyncio
 import random
@@ -24,15 +24,17 @@
 from .storage import Change, Storage, Transaction
 from .watching import PrefixWatcher
 
-__all__ = ["StoreSchema", "Node", "NodeConfig", "Unavailable", "strength"]
+__all__ = ["Node", "NodeConfig", "StoreSchema", "Unavailable", "strength"]
 
-# Timeout of calls to peers, in seconds. A question about a job goes to the store then.
+# Timeout of calls to peers, in seconds. If the owner of a job does not answer within
+# it, the state of the job is read from the store.
 PEER_TIMEOUT_S = 0.4
 # Delay before a claim for each group that the process owns already, and pause after a
 # failed claim, in seconds. Other processes claim meanwhile, which spreads the groups.
 CLAIM_STEP_S = 0.15
 # Delay before a claim of a process of strength 0, in seconds, so that stronger ones
-# claim first. A claim takes about 10 ms, and watches show it 10 ms later.
+# claim first. A claim takes about 10 ms, and peers see it through their watches about
+# 10 ms later.
 WEAK_DELAY_S = 0.3
 # Bandwidth that is ample for an owner, in Mbit/s. The owner of 126 workers saturates a
 # link of 5 Mbit/s; the larger of the users' entry VMs have 100 Mbit/s.
@@ -140,7 +142,7 @@
 
 
 class Node:
-    """Application object of a process.
+    """Scheduler process with its watches, its lease and the groups that it owns.
 
     Parameters
     ----------
@@ -162,7 +164,7 @@
     owners : dict of str to GroupOwner
         Owners of the groups that this process has claimed, by group.
     direct_storage : Storage
-        Storage that is called without relaying through peers.
+        Storage that is not relayed through peers; relayed calls of peers use it.
     """
 
     def __init__(
@@ -351,11 +353,11 @@
                 if item is None:
                     continue
                 entry = (records.cancel_key(group, job_id), b"1", 0)
-                found = await self._storage.commit(Transaction(puts=[entry]))
+                result = await self._storage.commit(Transaction(puts=[entry]))
             except (StoreDown, StoreReplyLost, LeaseLost) as exc:
                 raise Unavailable(exc.code, exc.detail) from exc
             logger.info("job cancelled", extra={"request": job_id})
-            revision = found if isinstance(found, int) else 0
+            revision = result if isinstance(result, int) else 0
             stored = records.StoredJobs(group, revision, cancelled=[job_id])
             self._notify_owner(stored)
             return True
@@ -374,10 +376,10 @@
             count = owner.pending(queue.name)
             if count is not None:
                 return count
-        found = await self._ask_owner(queue.group, {"queue": queue.name})
-        if found is None or not isinstance(found.get("pending"), int):
+        result = await self._query_owner(queue.group, {"queue": queue.name})
+        if result is None or not isinstance(result.get("pending"), int):
             raise _unavailable("the owner of the group does not answer")
-        return found["pending"]
+        return result["pending"]
 
     def _notify_owners(self, specs: list[JobSpec], revision: int) -> None:
         """Notify the groups' owners of stored jobs, without waiting for an answer."""
@@ -433,11 +435,11 @@
         owner = self.owners.get(group)
         if owner is not None and owner.loaded:
             return owner.state(job_id)
-        found = await self._ask_owner(group, {"job": job_id})
-        state = found.get("state") if found else None
+        result = await self._query_owner(group, {"job": job_id})
+        state = result.get("state") if result else None
         return JobState(state) if state else None
 
-    async def _ask_owner(self, group: str, query: t.Any) -> dict[str, t.Any] | None:
+    async def _query_owner(self, group: str, query: t.Any) -> dict[str, t.Any] | None:
         claim = self._claims.get(group)
         if claim is None or claim[0].process == self.cfg.process:
             return None
@@ -450,16 +452,16 @@
             extra = {"peer": claim[0].process, "reason": exc.detail}
             logger.info("owner did not answer", extra=extra)
             return None
-        found = reply.body
-        if reply.status != 200 or not isinstance(found, dict):
+        answer = reply.body
+        if reply.status != 200 or not isinstance(answer, dict):
             return None
-        return found if found.get("owner") else None
+        return answer if answer.get("owner") else None
 
     async def _stored_state(self, group: str, job_id: str) -> JobState | None:
         try:
-            kept = await self._storage.get(records.progress_key(group, job_id))
-            if kept is not None:
-                return records.decode_progress(kept.value).state
+            progress = await self._storage.get(records.progress_key(group, job_id))
+            if progress is not None:
+                return records.decode_progress(progress.value).state
             job = await self._storage.get(records.job_key(group, job_id))
         except (StoreDown, StoreReplyLost) as exc:
             raise Unavailable(exc.code, exc.detail) from exc
@@ -582,11 +584,11 @@
             for group, owner in list(self.owners.items()):
                 if owner.closed.is_set():
                     self._drop_group(group)
-            wanted = self._claimable_group()
-            if wanted is not None and self._claim_watch.loaded.is_set():
+            claimable = self._claimable_group()
+            if claimable is not None and self._claim_watch.loaded.is_set():
                 await asyncio.sleep(self._claim_delay())
-                if wanted == self._claimable_group():
-                    await self._claim(wanted)
+                if claimable == self._claimable_group():
+                    await self._claim(claimable)
                 continue
             self._claims_changed.clear()
             try:
@@ -597,8 +599,8 @@
     def _claimable_group(self) -> str | None:
         """Return a group to claim, or None.
 
-        That is a group without a claim, or one claimed by an earlier incarnation of
-        this process.
+        That is a group without a claim, or one with a claim in the name of this process
+        on which it does not act, as after a restart.
         """
         if not self._lease.has_lease():
             return None
@@ -634,9 +636,9 @@
             await owner.close()
             self._drop_group(group)
             key = records.claim_key(group)
-            claim = Transaction(expected={key: owner.revision}, removes=[key])
+            removal = Transaction(expected={key: owner.revision}, removes=[key])
             try:
-                await self._storage.commit(claim)
+                await self._storage.commit(removal)
             except (StoreDown, StoreReplyLost, LeaseLost) as exc:
                 # If the claim is still stored, the next check takes the group back.
                 extra = {"group": group, "reason": exc.detail}
@@ -652,7 +654,7 @@
             puts=[(key, records.encode(claim), self._lease.lease)],
         )
         try:
-            found = await self._storage.commit(transaction)
+            result = await self._storage.commit(transaction)
         except LeaseLost:
             self._lease.drop()
             return
@@ -661,10 +663,10 @@
             logger.warning("claim failed", extra=extra)
             await asyncio.sleep(CLAIM_STEP_S)
             return
-        if not isinstance(found, int):
+        if not isinstance(result, int):
             await asyncio.sleep(CLAIM_STEP_S)
             return
-        await self._take_over(group, claim, found)
+        await self._take_over(group, claim, result)
 
     async def _take_over(self, group: str, claim: records.Claim, revision: int) -> None:
         began = time.monotonic()
