--- a/src/poplaryard/audit.py
+++ b/src/poplaryard/audit.py
@@ -18,6 +18,7 @@
 FLUSH_ENTRIES = 500
 # A group of this many entries of at most 400 bytes stays below the 1 MB value limit.
 GROUP_ENTRIES = 2000
+# Capacity of the ring buffer of a process, in events.
 RING_ENTRIES = 20_000
 # Minimum interval between the flushes of a process, so that 120 processes make at
 # most 120 writes/s.
@@ -63,7 +64,7 @@
 
 
 class AuditLog:
-    """Buffer of the newest events of this process.
+    """Ring buffer of the newest events of this process.
 
     Parameters
     ----------
@@ -81,7 +82,7 @@
         self._unflushed: collections.deque[AuditEvent] = collections.deque()
         self._capacity = capacity
         self._last_flush = float("-inf")
-        self._oldest_at: float | None = None
+        self._unflushed_since: float | None = None
         self.recorded = 0
         self.flushed = 0
         self.lost = 0
@@ -99,14 +100,16 @@
             self._unflushed.popleft()
             self.lost += 1
         if not self._unflushed:
-            self._oldest_at = now
+            self._unflushed_since = now
         self._unflushed.append(event)
 
     def flush_due(self, now: float) -> bool:
         """Return whether a group should be flushed now."""
         if not self._unflushed or now - self._last_flush < MIN_FLUSH_S:
             return False
-        waited = now - (self._oldest_at if self._oldest_at is not None else now)
+        waited = now - (
+            self._unflushed_since if self._unflushed_since is not None else now
+        )
         return len(self._unflushed) >= FLUSH_ENTRIES or waited >= FLUSH_S
 
     def next_group(self, now: float) -> list[AuditEvent]:
@@ -120,7 +123,7 @@
         while self._unflushed and id(self._unflushed[0]) in flushed:
             self._unflushed.popleft()
         self.flushed += len(group)
-        self._oldest_at = now if self._unflushed else None
+        self._unflushed_since = now if self._unflushed else None
 
     def search(self, criteria: AuditFilter) -> list[AuditEvent]:
         """Return the newest matching events, oldest first."""
--- a/src/poplaryard/operator_context.py
+++ b/src/poplaryard/operator_context.py
@@ -1,4 +1,4 @@
-"""Implementation of the context that the operator routes need."""
+"""Service behind the operator routes: filing, rollout, status and audit trail."""
 
 import asyncio
 import typing as t
--- a/src/poplaryard/operators.py
+++ b/src/poplaryard/operators.py
@@ -33,6 +33,7 @@
 BODY_LIMIT = 1_000_000
 WAIT_LIMIT_S = 60.0
 _WAIT_POLL_S = 0.05
+# The head record lists at most this many tickets.
 _LIST_LIMIT = 256
 _AUDIT_LIMIT = 10_000
 
--- a/src/poplaryard/standin_platform.py
+++ b/src/poplaryard/standin_platform.py
@@ -86,7 +86,7 @@
         self._leases: dict[str, _Lease] = {}
         self._versions = itertools.count(1)
         self._lease_numbers = itertools.count(1)
-        self._log: deque[Entry] = deque(maxlen=WATCH_LOG_KEPT)
+        self._change_log: deque[Entry] = deque(maxlen=WATCH_LOG_KEPT)
         self._changed = asyncio.Event()
         self.calls: Counter[str] = Counter()
 
@@ -176,7 +176,7 @@
     def _entries_after(self, prefix: str, after: int) -> list[Entry]:
         """Return the newest entry of each key changed after a version."""
         found: dict[str, Entry] = {}
-        for entry in reversed(self._log):
+        for entry in reversed(self._change_log):
             if entry.version <= after:
                 break
             if entry.key.startswith(prefix):
@@ -190,7 +190,7 @@
             return
 
     def _publish(self, entry: Entry) -> None:
-        self._log.append(entry)
+        self._change_log.append(entry)
         # A task that waits keeps the old event, which stays set, so that it sees this
         # write. Later waits use the new event.
         self._changed.set()
--- a/src/poplaryard/standin_platform_http.py
+++ b/src/poplaryard/standin_platform_http.py
@@ -43,7 +43,7 @@
         self.app = Starlette(
             routes=[
                 Route("/store/v1/{name}", self._call, methods=["POST"]),
-                Route("/standin/fault", self._fault, methods=["POST"]),
+                Route("/standin/fault", self._set_faults, methods=["POST"]),
                 Route("/standin/vm", self._set_vm, methods=["POST"]),
                 Route("/standin/counts", self._counts, methods=["GET"]),
             ]
@@ -158,7 +158,7 @@
         listed = self.list_vms()
         return {"vms": [vm for vm in listed if wanted in (None, vm["data_centre"])]}
 
-    async def _fault(self, request: Request) -> Response:
+    async def _set_faults(self, request: Request) -> Response:
         body = json.loads(await request.body())
         self.faults = dataclasses.replace(self.faults, **body)
         return JSONResponse(dataclasses.asdict(self.faults))
--- a/src/poplaryard/status.py
+++ b/src/poplaryard/status.py
@@ -130,11 +130,12 @@
         "Check that the store or a process of another data centre can be reached.",
     ),
     "store-down": (
-        "Running work and its owners go on; the store is asked again every second.",
+        "Running work continues and shards keep their owners; the store is asked again "
+        "every second.",
         "File no tickets until the store answers; ask the platform's operators.",
     ),
     "store-behind": (
-        "It keeps the newer configuration and never goes back.",
+        "It keeps the newer configuration and never reverts to an older one.",
         "The store was probably restored from a copy; file the missing tickets again.",
     ),
     "ticket-late": (
--- a/src/poplaryard/ticket_check.py
+++ b/src/poplaryard/ticket_check.py
@@ -96,7 +96,7 @@
     for key, value in tickets.encode_changes(ticket).items():
         spec = tickets.lookup(config, key)
         if spec is None:
-            yield f"{key} is {'not there already' if value is None else 'new'}."
+            yield f"{key} {'does not exist' if value is None else 'is new'}."
         elif value is None:
             yield f"{key} is removed."
         else:
@@ -342,6 +342,7 @@
         (need.mem_mb, capacity.mem_mb),
         (need.gpus, capacity.gpus),
     )
+    # A need of nothing fits any number of times, hence the large default.
     return max(
         0,
         min(
--- a/src/poplaryard/ticket_cli.py
+++ b/src/poplaryard/ticket_cli.py
@@ -21,7 +21,7 @@
 
 __all__ = ["audit", "explain", "status", "ticket"]
 
-# Longer than the 10 s over which a ticket of 1,000 objects is written.
+# Filing a ticket of 1,000 objects takes 10 s.
 CALL_TIMEOUT_S = 30.0
 WAIT_S = 30.0
 # A filing whose outcome is unknown is repeated. This is safe, as the uid of the ticket
@@ -126,7 +126,7 @@
         envvar="POPLARYARD_SERVER",
         default="127.0.0.1:8080",
         show_default=True,
-        help="Address and port of an entry VM.",
+        help="Address and port of a server.",
     )
     @click.option(
         "--key-file",
@@ -178,8 +178,10 @@
     if reply.status not in (200, Code.NOT_FOUND.status):
         exit_with(_message(reply), EXIT_REFUSED)
     body = reply.body if reply.status == 200 else {}
-    current = body.get("object"), body.get("number")
-    click.echo(new_ticket(kind, name, author, *current, time.time()), nl=False)
+    object_and_number = body.get("object"), body.get("number")
+    click.echo(
+        new_ticket(kind, name, author, *object_and_number, time.time()), nl=False
+    )
 
 
 @ticket.command()
@@ -235,15 +237,15 @@
 
     A repeat is safe, since the server recognizes the ticket by its uid.
     """
-    for left in reversed(range(FILE_TRIES)):
+    for remaining_tries in reversed(range(FILE_TRIES)):
         try:
             reply = server.call("POST", "/v1/tickets", data)
-            if left == 0 or _code(reply) not in _UNKNOWN_CODES:
+            if remaining_tries == 0 or _code(reply) not in _UNKNOWN_CODES:
                 return reply
         except PoplaryardError as exc:
             if exc.code is Code.PEER_UNREACHABLE:
                 exit_with(f"Not filed. {exc.detail}", EXIT_REFUSED)
-            if left == 0:
+            if remaining_tries == 0:
                 detail = "File the same ticket again to learn whether it was accepted."
                 exit_with(f"The server does not answer. {detail}", EXIT_UNKNOWN)
         time.sleep(FILE_PAUSE_S)
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -116,7 +116,7 @@
         asyncio.run(run())
 
     def test_status_has_text_and_alarm_start(self):
-        """Guards against a status without the given fields or the start of an alarm."""
+        """Guards against a status without queue lengths or the start of an alarm."""
 
         async def run():
             host = OperatorHost()
