--- a/src/poplaryard/fuzz.py
+++ b/src/poplaryard/fuzz.py
@@ -23,12 +23,25 @@
 
 __all__ = ["Failure", "Fuzzer", "main", "run"]
 
-# Steps after which a new world is built, so that one unlucky state does not last.
+# Steps after which a new world is built, so that a state in which little happens,
+# such as one without workers, does not last for the rest of the run.
 EPISODE_STEPS = 4000
 
 
 class Failure(Exception):
-    """Broken promise or error, with the episode's seed, step and last actions."""
+    """An episode ended in a broken promise or an error.
+
+    Attributes
+    ----------
+    broken : Exception
+        `BrokenPromise`, or any other exception of the code under test.
+    seed : int
+        Seed of the episode.
+    step : int
+        Step of the run, counted over all episodes.
+    trace : list of str
+        Actions and deliveries before the failure.
+    """
 
     def __init__(self, broken: Exception, seed: int, step: int, trace: list[str]):
         super().__init__(repr(broken))
@@ -39,30 +52,42 @@
 
 
 class Fuzzer(Faults):
-    """One episode: a world, and the actions that the random source picks."""
+    """One episode: a world, and the random choice of actions on it.
+
+    Each action returns a text for the trace, or None if there is nothing to record.
+
+    Parameters
+    ----------
+    without : frozenset of str
+        Names from `MECHANISMS` that are disabled.
+    scheduler : str
+        Owner of the shards, ``small`` for `FuzzShard` or ``real`` for `ShardScheduler`.
+    """
 
     def __init__(
         self, seed: int, without: frozenset[str] = frozenset(), scheduler: str = "small"
     ):
         super().__init__()
         self.rng = random.Random(seed)
-        self.duel = self.rng.random() < 0.5
+        self._contended = self.rng.random() < 0.5
         self.world = World(
-            self.rng, without, small=self.duel, real_scheduler=scheduler == "real"
+            self.rng, without, small=self._contended, real_scheduler=scheduler == "real"
         )
+        # Submitted work with the number and the token of its last attempt.
         self._works: list[tuple[Work, int, str]] = []
+        # Messages kept back by `hold`.
         self._held: list[t.Any] = []
         self._names = list(ACTIONS)
         self._weights = self._pick_weights()
 
     def _pick_weights(self) -> list[float]:
-        """Favour other faults in each episode, so that rare pairs of them meet."""
+        """Pick random fault weights, so that rare pairs of faults occur together."""
         weights = {name: weight for name, (_, weight) in ACTIONS.items()}
-        storm = self.rng.choice((0.1, 0.3, 1.0))
+        fault_scale = self.rng.choice((0.1, 0.3, 1.0))
         for name in sorted(weights.keys() - _PROGRESS):
-            weights[name] *= storm * self.rng.choice((0, 0, 1, 4))
-        if self.duel:
-            weights |= _DUEL
+            weights[name] *= fault_scale * self.rng.choice((0, 0, 1, 4))
+        if self._contended:
+            weights |= _CONTENTION_WEIGHTS
         return [weights[name] for name in self._names]
 
     def step(self) -> None:
@@ -76,20 +101,20 @@
     # Progress
 
     def advance(self) -> str | None:
-        """Let a short time pass."""
-        self._pass(self.rng.expovariate(10.0))
+        """Advance the time a little."""
+        self._advance(self.rng.expovariate(10.0))
         return None
 
-    def jump(self) -> str:
-        """Let a long time pass in which nothing is delivered."""
+    def jump_ahead(self) -> str:
+        """Advance the time by seconds in which no message is delivered."""
         seconds = self.rng.uniform(0.5, 8.0)
-        self._pass(seconds)
+        self._advance(seconds)
         return f"{seconds:.3f}"
 
-    def _pass(self, seconds: float) -> None:
+    def _advance(self, seconds: float) -> None:
         world = self.world
         world.true_time += seconds
-        self.due()
+        self.apply_due_changes()
         for worker in world.workers.values():
             if not worker.gone:
                 worker.expire(world.true_time)
@@ -98,7 +123,7 @@
                 node.tick()
 
     def deliver(self, again: bool = False) -> str | None:
-        """Deliver any undelivered message."""
+        """Deliver a random message; with `again`, leave a copy undelivered."""
         pool = self.world.pool
         if not pool:
             return None
@@ -116,19 +141,19 @@
         return str(count)
 
     def hold(self) -> str | None:
-        """Keep a message back until it is released."""
+        """Hold back a message, or a copy of it, until `release`."""
         pool = self.world.pool
         if not pool:
             return None
-        telling = [item for item in pool if isinstance(item.message, _TELLING)]
-        item = self.rng.choice(telling or pool)
+        critical = [item for item in pool if isinstance(item.message, _CRITICAL)]
+        item = self.rng.choice(critical or pool)
         if self.rng.random() < 0.7:
             pool.remove(item)
         self._held.append(item)
         return str(item)
 
     def release(self) -> str | None:
-        """Let a message that was kept back go on."""
+        """Return a held-back message to the undelivered ones."""
         if not self._held:
             return None
         item = self._held.pop(self.rng.randrange(len(self._held)))
@@ -136,7 +161,10 @@
         return str(item)
 
     def repeat(self) -> str | None:
-        """Deliver a message and keep a copy of it, unless it is a store reply."""
+        """Deliver a message and leave a copy of it undelivered.
+
+        A copy of a store reply has no effect, since its call has been answered.
+        """
         return self.deliver(again=True)
 
     def drop(self) -> str | None:
@@ -167,23 +195,24 @@
     # Callers
 
     def submit(self) -> str | None:
-        """Hand in new work, or hand in again work that is open or was not run."""
-        entry = self._node()
+        """Submit new work, or submit earlier work again."""
+        entry = self._random_node()
         if entry is None:
             return None
-        if self._works and self.rng.random() < (0.5 if self.duel else 0.3):
+        if self._works and self.rng.random() < (0.5 if self._contended else 0.3):
             index = self.rng.randrange(max(0, len(self._works) - 30), len(self._works))
             work, attempt, _ = self._works[index]
-            # A caller only raises the number of its attempt when it is told "not run".
+            # The attempt number stays for a copy of the last attempt. A caller raises
+            # it only after the answer "not run".
             attempt += self.rng.randrange(2)
         else:
-            index, work, attempt = len(self._works), self._work(), 1
+            index, work, attempt = len(self._works), self._random_work(), 1
             self._works.append((work, 1, ""))
         token = self.world.submit(work, entry, attempt)
         self._works[index] = work, attempt, token
         return f"{token} {work.request_id} key={routing_key(work)!r}"
 
-    def _work(self) -> Work:
+    def _random_work(self) -> Work:
         rng, world = self.rng, self.world
         idempotent = rng.random() < 0.5
         issued = world.wall() + rng.choice((*[0.0] * 7, -3.0, 4.0, -500.0, 20.0))
@@ -194,13 +223,15 @@
             tasks=rng.choice((1, 1, 1, 2, 3)),
             need=Resources(size, rng.choice((100, size)), 0),
             idempotent=idempotent,
-            exclusive_key=rng.choice(("", "k1", "k2") if self.duel else ("", "", "k2")),
+            exclusive_key=rng.choice(
+                ("", "k1", "k2") if self._contended else ("", "", "k2")
+            ),
             issued_at=issued,
             deadline=rng.choice((float("inf"), 5.0, 20.0)),
         )
 
     def cancel(self) -> str | None:
-        """Cancel work."""
+        """Send a cancellation of recent work to every process."""
         if not self._works:
             return None
         work, _, token = self.rng.choice(self._works[-20:])
@@ -209,11 +240,12 @@
         return token
 
 
-# Messages whose delay matters most; they are held back more often than others.
-_TELLING = (PollWorker, StartAttempt, Submit, WriteRecord)
+# Messages whose delay is most likely to break a promise; `hold` prefers them.
+_CRITICAL = (PollWorker, StartAttempt, Submit, WriteRecord)
 
-# Weights for episodes in which few processes contend for one shard and tasks are long.
-_DUEL = {
+# Weights for episodes in which few processes contend for one shard. `finish` is rare,
+# so that tasks run for long.
+_CONTENTION_WEIGHTS = {
     "advance": 20.0,
     "finish": 0.8,
     "hold": 0.5,
@@ -233,8 +265,10 @@
     "worker_fails": 0.05,
 }
 
+# Actions that keep an episode going; their weights are not randomized.
 _PROGRESS = {"advance", "deliver", "finish", "flush", "heal", "submit"}
 
+# Action and weight by the name that the trace shows.
 ACTIONS: dict[str, tuple[t.Callable[[Fuzzer], str | None], float]] = {
     "deliver": (Fuzzer.deliver, 50.0),
     "flush": (Fuzzer.flush, 6.0),
@@ -246,23 +280,23 @@
     "repeat": (Fuzzer.repeat, 2.0),
     "drop": (Fuzzer.drop, 2.0),
     "cancel": (Fuzzer.cancel, 0.3),
-    "jump": (Fuzzer.jump, 0.15),
-    "pause": (Fuzzer.pause, 0.15),
+    "jump": (Fuzzer.jump_ahead, 0.15),
+    "pause": (Fuzzer.toggle_pause, 0.15),
     "kill": (Fuzzer.kill, 0.05),
-    "leave": (Fuzzer.leave, 0.05),
-    "store": (Fuzzer.store, 0.05),
+    "leave": (Fuzzer.stop_process, 0.05),
+    "store": (Fuzzer.toggle_store, 0.05),
     "cut": (Fuzzer.cut, 0.1),
-    "slow_store": (Fuzzer.slow_store, 0.05),
-    "strand": (Fuzzer.strand, 0.02),
-    "usurp": (Fuzzer.usurp, 0.1),
-    "mend": (Fuzzer.mend, 0.2),
-    "worker_comes": (Fuzzer.worker_comes, 0.05),
+    "slow_store": (Fuzzer.toggle_slow_store, 0.05),
+    "strand": (Fuzzer.isolate_from_workers, 0.02),
+    "usurp": (Fuzzer.force_takeover, 0.1),
+    "mend": (Fuzzer.remove_cut, 0.2),
+    "worker_comes": (Fuzzer.add_worker, 0.05),
     "isolate": (Fuzzer.isolate, 0.05),
-    "heal": (Fuzzer.heal, 0.1),
-    "worker_leaves": (Fuzzer.worker_leaves, 0.05),
-    "worker_fails": (Fuzzer.worker_fails, 0.05),
-    "vm_list": (Fuzzer.vm_list, 0.05),
-    "ticket": (Fuzzer.ticket, 0.1),
+    "heal": (Fuzzer.remove_all_cuts, 0.1),
+    "worker_leaves": (Fuzzer.mark_worker_leaving, 0.05),
+    "worker_fails": (Fuzzer.fail_worker, 0.05),
+    "vm_list": (Fuzzer.toggle_vm_list, 0.05),
+    "ticket": (Fuzzer.accept_ticket, 0.1),
 }
 
 
@@ -272,12 +306,17 @@
     without: frozenset[str] = frozenset(),
     scheduler: str = "small",
 ) -> dict[str, int]:
-    """Run episodes; raise `Failure` when a promise is broken.
+    """Run episodes until the given number of steps is done.
 
     Returns
     -------
     dict
-        Number of episodes, of starts checked and of answers given.
+        Number of episodes, of starts checked and of answers received.
+
+    Raises
+    ------
+    Failure
+        If a promise is broken or the code under test raises an exception.
     """
     done = starts = answers = episode = 0
     while done < steps:
@@ -288,10 +327,10 @@
                 done += 1
                 fuzzer.step()
         except Exception as exc:
-            raise Failure(exc, episode_seed, done, fuzzer.world.lines()) from exc
+            raise Failure(exc, episode_seed, done, fuzzer.world.trace_lines()) from exc
         episode += 1
-        starts += fuzzer.world.oracle.checks
-        answers += fuzzer.world.oracle.answers
+        starts += fuzzer.world.oracle.starts_checked
+        answers += fuzzer.world.oracle.answers_received
     return {"episodes": episode, "starts": starts, "answers": answers}
 
 
@@ -302,7 +341,7 @@
     "--without",
     multiple=True,
     type=click.Choice(sorted(MECHANISMS)),
-    help="Safety mechanism to take out.",
+    help="Safety mechanism to disable.",
 )
 @click.option(
     "--scheduler",
@@ -316,7 +355,7 @@
     seed: int, steps: int, without: tuple[str, ...], scheduler: str, trace: int
 ) -> None:
     """Try to break the promises; print seed, trace and the broken promise."""
-    began = time.monotonic()
+    started_at = time.monotonic()
     try:
         counts = run(seed, steps, frozenset(without), scheduler)
     except Failure as exc:
@@ -324,6 +363,6 @@
             click.echo(line)
         click.echo(f"seed {seed}, episode {exc.seed}, step {exc.step}: {exc}")
         raise SystemExit(1) from exc
-    seconds = time.monotonic() - began
+    seconds = time.monotonic() - started_at
     click.echo(f"seed {seed}: {steps} steps, no broken promise, {counts}")
     click.echo(f"{seconds:.1f} s")
--- a/src/poplaryard/fuzz_faults.py
+++ b/src/poplaryard/fuzz_faults.py
@@ -1,4 +1,4 @@
-"""Faults that the fuzzer picks from."""
+"""Faults that the fuzzer injects."""
 
 import random
 import typing as t
@@ -10,11 +10,12 @@
 
 __all__ = ["Faults"]
 
+# Largest number of live workers that `add_worker` reaches.
 MOST_WORKERS = 6
 
 
 class Faults:
-    """Faults of one world; each returns a text for the trace, or None if skipped.
+    """Faults of one world; each returns a text for the trace, or None if impossible.
 
     Attributes
     ----------
@@ -26,39 +27,40 @@
     rng: random.Random
 
     def __init__(self) -> None:
-        # Cuts and other changes that happen at a later time.
-        self._later: list[tuple[float, t.Callable[[], t.Any]]] = []
+        # Scheduled changes to the world, each with its true time.
+        self._scheduled: list[tuple[float, t.Callable[[], t.Any]]] = []
 
-    def due(self) -> None:
-        """Carry out the changes whose time has come."""
+    def apply_due_changes(self) -> None:
+        """Apply the scheduled changes that are due."""
         now = self.world.true_time
-        due = [change for at, change in self._later if at <= now]
-        self._later = [item for item in self._later if item[0] > now]
+        due = [change for at, change in self._scheduled if at <= now]
+        self._scheduled = [item for item in self._scheduled if item[0] > now]
         for change in due:
             change()
 
-    def _after(self, low: float, high: float, change: t.Callable[[], t.Any]) -> None:
+    def _schedule(self, low: float, high: float, change: t.Callable[[], t.Any]) -> None:
+        """Schedule a change after a random delay of `low` to `high` seconds."""
         at = self.world.true_time + self.rng.uniform(low, high)
-        self._later.append((at, change))
+        self._scheduled.append((at, change))
 
-    def _node(self) -> Node | None:
-        """Return a process, more often than not one that owns a shard."""
+    def _random_node(self) -> Node | None:
+        """Return a random live process, preferably one that owns a shard."""
         nodes = [n for n in self.world.nodes.values() if n.alive and not n.left]
         if self.rng.random() < 0.5:
             nodes = [n for n in nodes if n.ownership.owned] or nodes
         return self.rng.choice(nodes) if nodes else None
 
-    def pause(self) -> str | None:
-        """Pause a process, or wake a paused one."""
-        node = self._node()
+    def toggle_pause(self) -> str | None:
+        """Pause a process, or resume a paused one."""
+        node = self._random_node()
         if node is None:
             return None
         node.paused = not node.paused
         return f"{node.name} {node.paused}"
 
     def kill(self) -> str | None:
-        """End a process without notice, and often start its next incarnation."""
-        node = self._node()
+        """Kill a process; usually start its next incarnation."""
+        node = self._random_node()
         if node is None:
             return None
         node.alive = False
@@ -69,13 +71,13 @@
         if self.rng.random() < 0.2 and len(self.world.nodes) > 1:
             return ""
         base, _, number = name.partition("#")
-        again = f"{base}#{int(number) + 1}"
-        self.world.add_node(again, dc)
-        return again
+        restarted = f"{base}#{int(number) + 1}"
+        self.world.add_node(restarted, dc)
+        return restarted
 
-    def leave(self) -> str | None:
-        """Stop a process in a planned way and start another."""
-        node = self._node()
+    def stop_process(self) -> str | None:
+        """Stop a process gracefully and start another."""
+        node = self._random_node()
         if node is None or node.paused:
             return None
         node.give(Leave())
@@ -83,92 +85,92 @@
         self.world.add_node(f"{base}x#{number}", node.dc)
         return node.name
 
-    def store(self) -> str:
-        """Take a store down or bring it back."""
+    def toggle_store(self) -> str:
+        """Take a store down, or bring it back."""
         dc = self.rng.choice(list(self.world.stores))
         store = self.world.stores[dc]
         store.down = not store.down and self.rng.random() < 0.7
         return f"{dc} {store.down}"
 
     def cut(self) -> str | None:
-        """Cut two places off from each other."""
+        """Cut the network between two endpoints: workers, processes or stores."""
         world = self.world
-        places = [*world.workers, *_places(world.nodes)]
-        places += [f"store/{dc}" for dc in world.stores]
-        pair = frozenset(self.rng.sample(places, 2))
+        endpoints = [*world.workers, *_endpoints(world.nodes)]
+        endpoints += [f"store/{dc}" for dc in world.stores]
+        pair = frozenset(self.rng.sample(endpoints, 2))
         world.cuts.add(pair)
         return f"{sorted(pair)}"
 
     def isolate(self) -> str | None:
-        """Cut a process off from its store and, at times, from everything."""
-        node = self._node()
+        """Cut a process off from its store and, sometimes, from all processes."""
+        node = self._random_node()
         if node is None:
             return None
         name = node.name.partition("#")[0]
-        everything = self.rng.random() < 0.3
+        from_processes = self.rng.random() < 0.3
         others = [f"store/{node.dc}"]
-        if everything:
+        if from_processes:
             others += [n.partition("#")[0] for n in self.world.nodes]
         self.world.cuts |= {frozenset((name, other)) for other in others}
         return f"{name} {others}"
 
-    def usurp(self) -> str | None:
-        """Cut an owner off so that another takes over with workers out of reach."""
+    def force_takeover(self) -> str | None:
+        """Cut an owner off, so that a peer takes over that cannot reach all workers."""
         rng, world = self.rng, self.world
-        node = self._node()
+        node = self._random_node()
         if node is None:
             return None
         if rng.random() < 0.7:
             world.cuts.clear()
-        name, peers = self._and_peers(node)
-        hidden = self._some_workers(2)
+        name, peers = self._name_and_peers(node)
+        hidden = self._random_workers(2)
         pairs = [(name, f"store/{node.dc}")] if rng.random() < 0.8 else []
         pairs += [(peer, worker) for peer in peers for worker in hidden]
         if rng.random() < 0.3:
-            pairs += self._joiner(node, name, hidden)
+            pairs += self._add_isolated_node(node, name, hidden)
         self._cut(pairs)
-        self._part(name, peers)
+        self._cut_from_peers(name, peers)
         return str(pairs)
 
-    def _part(self, name: str, peers: list[str]) -> None:
-        """Cut an owner off from its peers: at once, late, in between, or not at all."""
+    def _cut_from_peers(self, name: str, peers: list[str]) -> None:
+        """Cut an owner off from its peers: now, later, twice, or not at all."""
         pairs = [(name, peer) for peer in peers]
         choice = self.rng.random()
         if choice < 0.4:
             self._cut(pairs)
         elif choice < 0.6:
-            self._after(4.0, 12.0, lambda: self._cut(pairs))
+            self._schedule(4.0, 12.0, lambda: self._cut(pairs))
         elif choice < 0.85:
             self._cut(pairs)
-            self._after(5.0, 9.0, lambda: self._uncut(pairs))
-            self._after(6.0, 12.0, lambda: self._cut(pairs))
+            self._schedule(5.0, 9.0, lambda: self._uncut(pairs))
+            self._schedule(6.0, 12.0, lambda: self._cut(pairs))
 
-    def strand(self) -> str | None:
-        """Cut an owner off from all but a worker that comes after its successor."""
-        node = self._node()
+    def isolate_from_workers(self) -> str | None:
+        """Cut an owner off from all but a worker that is added after the take-over."""
+        node = self._random_node()
         if node is None:
             return None
-        name, peers = self._and_peers(node)
-        workers = self._some_workers(MOST_WORKERS)
+        name, peers = self._name_and_peers(node)
+        workers = self._random_workers(MOST_WORKERS)
         pairs = [(name, f"store/{node.dc}"), *((name, peer) for peer in peers)]
-        pairs += self._joiner(node, name, [])
+        pairs += self._add_isolated_node(node, name, [])
         self._cut(pairs)
-        self._after(5.0, 9.0, lambda: self._cut([(name, vm) for vm in workers]))
-        self._after(6.0, 16.0, self.worker_comes)
+        self._schedule(5.0, 9.0, lambda: self._cut([(name, vm) for vm in workers]))
+        self._schedule(6.0, 16.0, self.add_worker)
         return str(pairs)
 
-    def _and_peers(self, node: Node) -> tuple[str, list[str]]:
+    def _name_and_peers(self, node: Node) -> tuple[str, list[str]]:
         name = node.name.partition("#")[0]
-        return name, [n for n in _places(self.world.nodes) if n != name]
+        return name, [n for n in _endpoints(self.world.nodes) if n != name]
 
-    def _some_workers(self, most: int) -> list[str]:
+    def _random_workers(self, limit: int) -> list[str]:
         workers = [w.name for w in self.world.workers.values() if not w.gone]
-        return self.rng.sample(workers, min(len(workers), self.rng.randint(0, most)))
+        return self.rng.sample(workers, min(len(workers), self.rng.randint(0, limit)))
 
-    def _joiner(
+    def _add_isolated_node(
         self, node: Node, name: str, hidden: list[str]
     ) -> list[tuple[str, str]]:
-        """Start a process that an owner and some workers cannot reach."""
+        """Start a process; return the cuts from an owner and from hidden workers."""
         joiner = f"{node.dc}-j{self.world.next_id()}"
         self.world.add_node(f"{joiner}#1", node.dc)
         return [(joiner, name), *((joiner, worker) for worker in hidden)]
@@ -179,12 +181,12 @@
     def _uncut(self, pairs: t.Iterable[tuple[str, str]]) -> None:
         self.world.cuts -= {frozenset(pair) for pair in pairs}
 
-    def slow_store(self) -> str:
-        """Make the stores slow or fast; a slow one answers out of order, if at all."""
+    def toggle_slow_store(self) -> str:
+        """Make the stores slow or fast; a slow one answers late and out of order."""
         self.world.slow_store = not self.world.slow_store
         return str(self.world.slow_store)
 
-    def mend(self) -> str | None:
+    def remove_cut(self) -> str | None:
         """Remove one cut."""
         cuts = self.world.cuts
         if not cuts:
@@ -193,14 +195,14 @@
         cuts.discard(pair)
         return str(sorted(pair))
 
-    def heal(self) -> str:
+    def remove_all_cuts(self) -> str:
         """Remove all cuts."""
         self.world.cuts.clear()
         return ""
 
-    def worker_leaves(self) -> str | None:
-        """Let a worker or the platform's list say that the VM is leaving."""
-        worker = self._worker()
+    def mark_worker_leaving(self) -> str | None:
+        """Mark a VM as leaving, either at its worker or in the platform's list."""
+        worker = self._live_worker()
         if worker is None:
             return None
         if self.rng.random() < 0.5:
@@ -209,8 +211,8 @@
             self.world.mark_leaving(worker.name)
         return worker.name
 
-    def worker_comes(self) -> str | None:
-        """Add a VM."""
+    def add_worker(self) -> str | None:
+        """Add a worker to a data centre."""
         live = sum(not worker.gone for worker in self.world.workers.values())
         if live >= MOST_WORKERS:
             return None
@@ -219,9 +221,9 @@
         self.world.add_worker(name, dc)
         return name
 
-    def worker_fails(self) -> str | None:
-        """Lose a VM; at times the list says so and a new one comes."""
-        worker = self._worker()
+    def fail_worker(self) -> str | None:
+        """Fail a VM; half of the time, replace it in the platform's list."""
+        worker = self._live_worker()
         if worker is None:
             return None
         worker.fail(self.world.true_time)
@@ -232,25 +234,26 @@
         self.world.add_worker(f"{dc}-vm{self.world.next_id()}", dc)
         return worker.name
 
-    def _worker(self) -> FakeWorker | None:
+    def _live_worker(self) -> FakeWorker | None:
         workers = [w for w in self.world.workers.values() if not w.gone]
         return self.rng.choice(workers) if workers else None
 
-    def vm_list(self) -> str:
-        """Let the platform's VM list fail or come back."""
+    def toggle_vm_list(self) -> str:
+        """Make the platform's VM list unavailable, or available again."""
         self.world.list_up = not self.world.list_up
         return str(self.world.list_up)
 
-    def ticket(self) -> str:
+    def accept_ticket(self) -> str:
         """Accept a ticket and send it to all processes."""
         world = self.world
         number = world.accepted.number + 1
         world.accepted = Ticket(number, f"content {number}")
-        world.oracle.ticket(number, world.accepted.content)
+        world.oracle.ticket_accepted(number, world.accepted.content)
         for node in world.nodes.values():
             world.send("store", node.name, world.accepted)
         return str(number)
 
 
-def _places(nodes: t.Iterable[str]) -> list[str]:
+def _endpoints(nodes: t.Iterable[str]) -> list[str]:
+    """Return the names of processes without the number of their incarnation."""
     return sorted({name.partition("#")[0] for name in nodes})
--- a/src/poplaryard/fuzz_node.py
+++ b/src/poplaryard/fuzz_node.py
@@ -1,4 +1,4 @@
-"""Entry process of the fuzzer: real decision objects and the I/O between them."""
+"""Simulated entry process: the decision objects of production over simulated I/O."""
 
 import random
 import typing as t
@@ -53,20 +53,24 @@
 
 STORE_TIMEOUT_S = 1.5
 PEER_TIMEOUT_S = 1.0
+# Interval between polls of the claimed workers.
 POLL_S = 1.0
 
-# A forwarded request that is older is ignored. It may be a copy of one whose "not run"
-# the ledger has forgotten; answers are kept for this time plus the clock skew.
+# Age above which a forwarded request is ignored. An older one may be a copy of one that
+# was answered "not run" and that the ledger has forgotten: it keeps answers for this
+# time plus the clock skew.
 COPY_S = 20.0
 
-# Intervals at which a process reads the VM list, which so lags behind.
+# Intervals between two reads of the VM list, one of which each process picks. Its copy
+# of the list may be that old.
 LIST_INTERVALS_S = (1.0, 2.0, 8.0)
+# Number of unanswered polls above which a worker is unreachable.
 POLLS_MISSED = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """Configuration passed on to a process."""
+    """Accepted configuration, as it is sent to the processes."""
 
     number: int
     content: str
@@ -74,7 +78,21 @@
 
 @dataclass(slots=True)
 class _Shard:
-    decisions: FuzzShard | RealShard
+    """A shard that the process owns.
+
+    Attributes
+    ----------
+    settled : bool
+        Whether the end of the take-over was reported to the ownership object.
+    exclusive_until : float
+        Monotonic time at which the last authority for exclusive work lapses.
+    polls_missed : dict
+        Number of polls since the last reply, by worker.
+    readings : dict
+        Last reading of a worker's clock in ms and the time of its receipt, by worker.
+    """
+
+    scheduler: FuzzShard | RealShard
     takeover: Takeover
     epoch: int
     settled: bool = False
@@ -86,7 +104,23 @@
 
 
 class Node:
-    """One incarnation of an entry process."""
+    """One incarnation of an entry process.
+
+    Attributes
+    ----------
+    rate, offset : float
+        Rate of the monotonic clock and its reading at true time 0, in seconds.
+    wall_error : float
+        Difference of the wall clock from the exact one in seconds.
+    paused : bool
+        Whether the process is stopped for now, so that it receives and does nothing.
+    watching : bool
+        Whether it watches the assignment record.
+    left : bool
+        Whether it has revoked its lease and left the cell.
+    ticket : int
+        Number of the ticket applied last.
+    """
 
     def __init__(self, name: str, dc: str, world: "World", rng: random.Random):
         self.name = name
@@ -102,43 +136,47 @@
         self.world = world
         self.ownership = Ownership(name, name, rng)
         self.shards: dict[str, _Shard] = {}
+        # Time of sending and message of each unanswered store call, by call id.
         self._store_calls: dict[int, tuple[float, t.Any]] = {}
-        self._beats: dict[tuple[str, float], float] = {}
-        # Ids that this process took in; once it has lost the shard, it cannot say of
-        # these that they did not run.
+        # Time of sending of each unanswered heartbeat, by receiver and `sent_at`.
+        self._heartbeats: dict[tuple[str, float], float] = {}
+        # Ids of requests that this process accepted. After it has lost the shard, it
+        # may not answer that these did not run.
         self._handled: set[str] = set()
+        # VMs that were reported as leaving, by the list or by the worker itself.
         self._leaving: set[str] = set()
         self._poll_at = 0.0
         self._started = self.wall()
-        # VMs as this process last read them, and the last time that one left a shard.
+        # VMs as this process last read them, and by shard the wall-clock time at which
+        # it last saw a VM removed.
         self._listed = world.listed(dc)
         self._listed_since: dict[str, float] = {}
         self._list_s = rng.choice(LIST_INTERVALS_S)
         self._list_at = 0.0
-        world.weaken(self)
+        world.patch_ownership(self)
         self.give(ShardsConfigured(world.shards(dc), 1))
 
     def now(self) -> float:
-        """Return the process's own monotonic clock."""
+        """Return the reading of the process's monotonic clock."""
         return self.offset + self.world.true_time * self.rate
 
     def wall(self) -> float:
-        """Return the process's wall clock."""
+        """Return the reading of the process's wall clock."""
         return self.world.wall() + self.wall_error
 
     def tick(self) -> None:
-        """Let time pass in every decision object."""
+        """Process timeouts, and pass a tick to every decision object."""
         now = self.now()
         for call_id, (sent_at, message) in list(self._store_calls.items()):
             if now > sent_at + STORE_TIMEOUT_S:
                 del self._store_calls[call_id]
                 self.give(time_out(message))
-        for key, sent_at in list(self._beats.items()):
+        for key, sent_at in list(self._heartbeats.items()):
             if now > sent_at + PEER_TIMEOUT_S:
-                del self._beats[key]
+                del self._heartbeats[key]
                 self.give(PeerMissed(key[0]))
         self.give(Tick())
-        leased = self.ownership.state == "held" or self.world.lacks("claims_new")
+        leased = self.ownership.state == "held" or self.world.disables("claims_new")
         for name, shard in list(self.shards.items()):
             shard.takeover.claims_new = leased
             self.give_shard(name, Tick())
@@ -154,28 +192,28 @@
     # Ownership
 
     def give(self, message: t.Any) -> None:
-        """Hand a message to the ownership object and carry out what it returns."""
+        """Pass a message to the ownership object and execute what it returns."""
         for out in self.ownership.handle(self.now(), message):
-            self._carry_out(out)
+            self._execute(out)
 
-    def _carry_out(self, out: t.Any) -> None:
+    def _execute(self, out: t.Any) -> None:
         if isinstance(out, Authority):
-            self._authority(out)
+            self._update_authority(out)
         elif isinstance(out, SendHeartbeat):
-            self._beats[out.to, out.heartbeat.sent_at] = self.now()
+            self._heartbeats[out.to, out.heartbeat.sent_at] = self.now()
             self.world.send(self.name, out.to, out.heartbeat)
         elif isinstance(out, HeartbeatReply):
             self.world.send(self.name, out.to, out)
         elif isinstance(out, ShardTaken):
-            self._taken(out)
+            self._start_takeover(out)
         elif isinstance(out, ShardReleased):
             self.shards.pop(out.shard, None)
         elif isinstance(out, WatchRecord):
             self.watching = out.on
         else:
-            self._store_call(out)
+            self._send_store_call(out)
 
-    def _store_call(self, out: t.Any) -> None:
+    def _send_store_call(self, out: t.Any) -> None:
         assert isinstance(
             out, GrantLease | RenewLease | RevokeLease | ReadRecord | WriteRecord
         )
@@ -189,12 +227,12 @@
         self.world.send_store(self, 0, out)
 
     def store_reply(self, call_id: int, reply: t.Any) -> None:
-        """Take a reply of the store; None if it refused the connection."""
+        """Process a reply of the store; None if it refused the connection."""
         found = self._store_calls.pop(call_id, None)
         if found is not None:
             self.give(failure(found[1]) if reply is None else reply)
 
-    def _taken(self, out: ShardTaken) -> None:
+    def _start_takeover(self, out: ShardTaken) -> None:
         listed = self._listed.values()
         vms = [
             item for item in listed if self.world.shard_of(item[0].name) == out.shard
@@ -207,17 +245,17 @@
             [vm.name for vm, _ in vms],
             known=out.known,
             first=out.first,
-            wait_s=0.0 if self.world.lacks("lease_wait") else out.wait_s,
+            wait_s=0.0 if self.world.disables("lease_wait") else out.wait_s,
             listed_since=self._listed_since.get(out.shard, self._started),
-            list_read=self.world.lacks("list_read"),
+            list_read=self.world.disables("list_read"),
         )
-        self.world.weaken_takeover(takeover)
+        self.world.patch_takeover(takeover)
         shard: FuzzShard | RealShard
         if self.world.real_scheduler:
             shard = RealShard(out.shard, self.name, takeover, self.now())
         else:
             shard = FuzzShard(out.shard, self.name, takeover, self.world.without)
-        self.world.weaken_ledger(shard.ledger)
+        self.world.patch_ledger(shard.ledger)
         self.shards[out.shard] = _Shard(shard, takeover, out.epoch)
         for vm, leaving in vms:
             self.give_shard(
@@ -227,18 +265,18 @@
         self.give_shard(out.shard, Tick())
 
     def _read_list(self) -> None:
-        """Read the platform's VM list and hand on what changed."""
+        """Read the platform's VM list and pass its entries and removals on."""
         self._list_at = self.now() + self._list_s
         listed = self.world.listed(self.dc)
         for vm in sorted(self._listed.keys() - listed.keys()):
-            self._vm_message(VmGone(vm))
+            self._process_vm_message(VmGone(vm))
         for spec, leaving in listed.values():
-            self._vm_message(VmUpdate(spec, leaving))
+            self._process_vm_message(VmUpdate(spec, leaving))
         self._listed = listed
         for name in list(self.shards):
             self.give_shard(name, VmListRead())
 
-    def _authority(self, out: Authority) -> None:
+    def _update_authority(self, out: Authority) -> None:
         shard = self.shards.get(out.shard)
         if shard is None:
             return
@@ -250,14 +288,14 @@
     # Shards
 
     def give_shard(self, name: str, message: t.Any) -> None:
-        """Hand a message to a shard's decisions and carry out what they return."""
+        """Pass a message to the owner of a shard and execute what it returns."""
         shard = self.shards.get(name)
         if shard is None:
             return
-        for out in shard.decisions.handle(self.now(), message):
-            self._carry_out_shard(name, out)
+        for out in shard.scheduler.handle(self.now(), message):
+            self._execute_for_shard(name, out)
 
-    def _carry_out_shard(self, name: str, out: t.Any) -> None:
+    def _execute_for_shard(self, name: str, out: t.Any) -> None:
         if isinstance(out, StartAttempt):
             request = out.work.request_id
             self.world.oracle.start_sent(self.name, out.vm, out.attempt_id, request)
@@ -271,7 +309,7 @@
 
     def answer(self, out: Answer) -> None:
         """Send an answer to the entry process named in its token."""
-        self.world.oracle.said(self.name, out)
+        self.world.oracle.answer_sent(self.name, out)
         entry = out.reply_to.partition("!")[0]
         self.world.send(self.name, entry, out)
 
@@ -282,7 +320,7 @@
                 continue
             for vm in sorted(shard.claimed):
                 self._poll_vm(shard, vm)
-            self._note_missed(shard)
+            self._report_unreachable(shard)
 
     def _poll_vm(self, shard: _Shard, vm: str) -> None:
         assert shard.authority is not None
@@ -292,75 +330,79 @@
         shard.polls_missed[vm] = shard.polls_missed.get(vm, 0) + 1
         self.world.send(self.name, vm, PollWorker(vm, shard.epoch, until, exclusive))
 
-    def _note_missed(self, shard: _Shard) -> None:
+    def _report_unreachable(self, shard: _Shard) -> None:
         for vm in sorted(shard.claimed):
             if shard.polls_missed[vm] > POLLS_MISSED:
                 shard.claimed.discard(vm)
                 shard.polls_missed[vm] = 0
-                self.give_shard(shard.decisions.shard, WorkerUnreachable(vm))
+                self.give_shard(shard.scheduler.shard, WorkerUnreachable(vm))
 
-    # Messages from others
+    # Incoming messages
 
     def deliver(self, sender: str, message: t.Any) -> None:
-        """Take a message that arrived."""
+        """Process a message from the network."""
         if isinstance(message, Heartbeat | HeartbeatReply):
-            self._peer_message(sender, message)
+            self._process_peer_message(sender, message)
         elif isinstance(message, Submit | Cancel):
-            self._from_entry(message)
+            self._process_entry_message(message)
         elif isinstance(message, Answer):
-            self.world.answered(self, message)
+            self.world.deliver_answer(self, message)
         elif isinstance(message, Ticket):
-            self._apply(message)
+            self._apply_ticket(message)
         elif isinstance(message, ProvenDead):
             self.give(message)
         else:
-            self._from_worker(message)
+            self._process_worker_message(message)
 
-    def _peer_message(self, sender: str, message: Heartbeat | HeartbeatReply) -> None:
+    def _process_peer_message(
+        self, sender: str, message: Heartbeat | HeartbeatReply
+    ) -> None:
         if isinstance(message, HeartbeatReply):
-            self._beats.pop((message.sender, message.sent_at), None)
+            self._heartbeats.pop((message.sender, message.sent_at), None)
         self.give(message)
 
-    def _from_entry(self, message: Submit | Cancel) -> None:
+    def _process_entry_message(self, message: Submit | Cancel) -> None:
         if isinstance(message, Cancel):
             for name in list(self.shards):
                 self.give_shard(name, message)
             return
-        if self.wall() - message.wall > COPY_S and not self.world.lacks("copy_age"):
+        if self.wall() - message.wall > COPY_S and not self.world.disables("copy_age"):
             return
-        target = self.world.shard_for(message.work, self)
+        shard = self.world.shard_for(message.work, self)
         request = message.work.request_id
-        if target not in self.shards:
+        if shard not in self.shards:
             self.answer(self.world.not_owner(message, request in self._handled))
             return
         self._handled.add(request)
         work = replace(message.work, deadline=self.now() + message.work.deadline)
         message = replace(message, work=work)
-        self.world.oracle.reached(self.name, message.reply_to, request)
-        self.give_shard(target, message)
+        self.world.oracle.reached_owner(self.name, message.reply_to, request)
+        self.give_shard(shard, message)
 
-    def _vm_message(self, message: VmUpdate | VmGone) -> None:
+    def _process_vm_message(self, message: VmUpdate | VmGone) -> None:
         vm = message.vm if isinstance(message, VmGone) else message.vm.name
         shard = self.world.shard_of(vm)
-        if isinstance(message, VmGone) and not self.world.lacks("departed"):
+        if isinstance(message, VmGone) and not self.world.disables("departed"):
             self._listed_since[shard] = self.wall()
         if shard not in self.shards:
             return
         if isinstance(message, VmGone):
             self.shards[shard].claimed.discard(vm)
         elif message.leaving or vm in self._leaving:
-            # A list that lags does not take back what the worker itself has said.
+            # An outdated list does not revoke what the worker itself has reported.
             self._leaving.add(vm)
             self.world.oracle.told_leaving(self.name, vm)
             message = VmUpdate(message.vm, leaving=True)
         self.give_shard(shard, message)
 
-    def _apply(self, message: Ticket) -> None:
-        if message.number > self.ticket or self.world.lacks("ticket_order"):
+    def _apply_ticket(self, message: Ticket) -> None:
+        if message.number > self.ticket or self.world.disables("ticket_order"):
             self.ticket = message.number
-            self.world.oracle.in_force(self.name, message.number, message.content)
+            self.world.oracle.ticket_applied(self.name, message.number, message.content)
 
-    def _from_worker(self, message: ClaimReply | PollReply | StartReply) -> None:
+    def _process_worker_message(
+        self, message: ClaimReply | PollReply | StartReply
+    ) -> None:
         name = self.world.shard_of(message.vm)
         shard = self.shards.get(name)
         if shard is None:
@@ -369,10 +411,10 @@
             if message.epoch > shard.epoch:
                 self.give(EpochRefused(name, shard.epoch))
                 return
-            self._note_reply(shard, message)
+            self._record_reply(shard, message)
         self.give_shard(name, message)
 
-    def _note_reply(self, shard: _Shard, message: ClaimReply | PollReply) -> None:
+    def _record_reply(self, shard: _Shard, message: ClaimReply | PollReply) -> None:
         if message.epoch != shard.epoch:
             return
         last = shard.readings.get(message.vm, (-1, 0.0))
@@ -385,6 +427,6 @@
             self._leaving.add(message.vm)
             self.world.oracle.told_leaving(self.name, message.vm)
 
-    def entry_for(self, work: Work) -> str:
-        """Return the process to which this entry forwards a request."""
+    def owner_for(self, work: Work) -> str:
+        """Return the process to which this entry process forwards a request."""
         return self.ownership.owner_of(self.world.shard_for(work, self))
--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -1,4 +1,4 @@
-"""Small random-fit owner of one shard over the real ledger, for `fuzz`."""
+"""Minimal owner of one shard for the fuzzer: random fit over the real ledger."""
 
 import itertools
 import random
@@ -36,10 +36,12 @@
 
 @dataclass(slots=True)
 class _Vm:
+    """VM of the shard; times are on the monotonic clock of the process."""
+
     capacity: Resources
     leaving: bool = False
     reachable: bool = True
-    # Worker's clock reading in ms and the time of its receipt.
+    # Last reading of the worker's clock in ms and the time of its receipt.
     reading: tuple[int, float] = (0, 0.0)
     unreachable_since: float = 0.0
     reclaim_at: float = 0.0
@@ -47,6 +49,16 @@
 
 @dataclass(slots=True)
 class _Sent:
+    """Start that was sent to a worker; `need` is charged to the VM until it ends.
+
+    Attributes
+    ----------
+    valid_until_ms : int
+        Time on the worker's clock after which it refuses the start.
+    confirmed : bool
+        Whether the worker has confirmed or reported the attempt.
+    """
+
     vm: str
     need: Resources
     request_id: str
@@ -56,17 +68,21 @@
 
 @dataclass(slots=True)
 class _Waiting:
+    """Request without an answer, and the tokens of the callers that wait for it."""
+
     work: Work
     reply_to: list[str]
 
 
 class FuzzShard:
-    """Places work on any VM with room; every rule of safety is the real one.
+    """Owner of a shard that places work on a random VM with enough free capacity.
+
+    Its safety rules are those of `ShardScheduler`; only the placement is simpler.
 
     Parameters
     ----------
     without : frozenset of str
-        Mechanisms that are taken out.
+        Names of safety mechanisms that are disabled.
     """
 
     def __init__(
@@ -86,7 +102,7 @@
         self._rng = random.Random(takeover.epoch)
 
     def handle(self, now: float, message: t.Any) -> list[t.Any]:
-        """Take one message and return commands and answers."""
+        """Process one message; return commands and answers."""
         out = _HANDLERS[type(message)](self, now, message)
         return [*out, *self._place(now)]
 
@@ -103,7 +119,7 @@
             return []
         out: list[t.Any] = []
         if now >= vm.unreachable_since + LEASE_TTL_S + lease_wait_s():
-            out += self._lose(now, name)
+            out += self._lose_attempts(now, name)
         if now >= vm.reclaim_at:
             vm.reclaim_at = now + CLAIM_RETRY_S
             out.append(ClaimWorker(name, self._takeover.epoch))
@@ -115,32 +131,35 @@
         answer = self.ledger.conclude(
             now, request_id, not_run=Code.EXPIRED, ran=Code.TIMED_OUT
         )
-        return self._answered(answer)
+        return self._answer_callers(answer)
 
     def _submit(self, now: float, message: Submit) -> list[t.Any]:
         work = message.work
         issued = work.issued_at
-        known = self.ledger.register(
+        registered = self.ledger.register(
             now,
             message.wall,
             work,
             attempt=message.attempt,
             may_run_unreported=work.idempotent or self._may_run_unreported(issued),
         )
-        if known.status is RequestStatus.ANSWERED and known.answer is not None:
-            return [replace(known.answer, reply_to=message.reply_to)]
-        if known.status is RequestStatus.REFUSED and known.code is not None:
-            return [_refusal(message, known.code)]
-        self._wait(message)
+        if (
+            registered.status is RequestStatus.ANSWERED
+            and registered.answer is not None
+        ):
+            return [replace(registered.answer, reply_to=message.reply_to)]
+        if registered.status is RequestStatus.REFUSED and registered.code is not None:
+            return [_refusal(message, registered.code)]
+        self._add_waiting(message)
         return []
 
     def _may_run_unreported(self, issued_at: float) -> bool:
         if not self._takeover.serves_exclusive():
-            # Decided when it would be started.
+            # Nothing is started yet; `_place_request` decides before it starts work.
             return True
         return self._takeover.may_run_unreported(issued_at)
 
-    def _wait(self, message: Submit) -> None:
+    def _add_waiting(self, message: Submit) -> None:
         waiting = self._requests.get(message.work.request_id)
         if waiting is None:
             waiting = _Waiting(message.work, [])
@@ -153,7 +172,7 @@
             now, message.request_id, not_run=Code.CANCELLED, ran=Code.STOPPED
         )
         if answer is not None:
-            return self._answered(answer)
+            return self._answer_callers(answer)
         self._cancelled.add(message.request_id)
         return [
             StopAttempt(self._sent[k].vm, k, self._takeover.epoch)
@@ -170,12 +189,12 @@
             out += self._adopt(now, message.vm, report)
         if message.clock_ms > vm.reading[0]:
             vm.reachable = True
-        self._note_reading(now, vm, message.clock_ms)
+        self._record_reading(now, vm, message.clock_ms)
         return out
 
     def _adopt(self, now: float, vm: str, report: AttemptReport) -> list[t.Any]:
         if report.state is not AttemptState.RUNNING:
-            return self._ended(now, report, adopted=True)
+            return self._attempt_ended(now, report, adopted=True)
         self.ledger.adopt(now, report)
         if report.attempt_id in self.ledger.attempts(report.request_id):
             sent = _Sent(vm, report.need, report.request_id, 0, confirmed=True)
@@ -192,26 +211,26 @@
         out: list[t.Any] = []
         for report in message.attempts:
             out += self._adopt(now, message.vm, report)
-        out += self._never_started(now, message)
-        self._note_reading(now, vm, message.clock_ms)
+        out += self._refuse_never_started(now, message)
+        self._record_reading(now, vm, message.clock_ms)
         return out
 
-    def _never_started(self, now: float, message: PollReply) -> list[t.Any]:
-        """Give up starts that the worker has not seen and can no longer accept."""
-        listed = {report.attempt_id for report in message.attempts}
-        never = [
+    def _refuse_never_started(self, now: float, message: PollReply) -> list[t.Any]:
+        """Refuse starts that the worker has not received and can no longer accept."""
+        reported = {report.attempt_id for report in message.attempts}
+        expired = [
             k
             for k, sent in self._sent.items()
             if sent.vm == message.vm
-            and k not in listed
+            and k not in reported
             and not sent.confirmed
             and message.clock_ms > sent.valid_until_ms
         ]
-        for attempt_id in never:
-            self._refuse(now, attempt_id)
+        for attempt_id in expired:
+            self._record_refused(now, attempt_id)
         return []
 
-    def _note_reading(self, now: float, vm: _Vm, clock_ms: int) -> None:
+    def _record_reading(self, now: float, vm: _Vm, clock_ms: int) -> None:
         if clock_ms > vm.reading[0]:
             vm.reading = clock_ms, now
 
@@ -222,30 +241,30 @@
         elif message.code.outcome is Outcome.NOT_RUN:
             sent = self._sent.get(message.attempt_id)
             if sent is not None and not sent.confirmed:
-                self._refuse(now, message.attempt_id)
+                self._record_refused(now, message.attempt_id)
         return []
 
-    def _refuse(self, now: float, attempt_id: str) -> None:
+    def _record_refused(self, now: float, attempt_id: str) -> None:
         self._sent.pop(attempt_id, None)
         self.ledger.refused(now, attempt_id)
 
-    def _ended(
+    def _attempt_ended(
         self, now: float, report: AttemptReport, adopted: bool = False
     ) -> list[t.Any]:
         self._sent.pop(report.attempt_id, None)
-        take = self.ledger.adopt if adopted else self.ledger.report
-        answer = take(now, report)
+        record = self.ledger.adopt if adopted else self.ledger.report
+        answer = record(now, report)
         request_id = report.request_id
         ended = not self.ledger.attempts(request_id)
         if answer is None and ended and request_id in self._cancelled:
             answer = self.ledger.end(now, request_id, Code.STOPPED)
-        return self._answered(answer)
+        return self._answer_callers(answer)
 
-    def _lose(self, now: float, vm: str) -> list[t.Any]:
+    def _lose_attempts(self, now: float, vm: str) -> list[t.Any]:
         out: list[t.Any] = []
         for attempt_id in [k for k, sent in self._sent.items() if sent.vm == vm]:
             del self._sent[attempt_id]
-            out += self._answered(self.ledger.lost(now, attempt_id))
+            out += self._answer_callers(self.ledger.lost(now, attempt_id))
         return out
 
     def _unreachable(self, now: float, message: WorkerUnreachable) -> list[t.Any]:
@@ -259,24 +278,24 @@
         vm = self._vms.get(message.vm.name)
         if vm is None:
             self._vms[message.vm.name] = vm = _Vm(message.vm.capacity)
-        # The worker's own word is not taken back by a list that lags behind.
+        # An outdated list does not revoke what the worker itself has reported.
         vm.leaving = vm.leaving or message.leaving
         return self._takeover.handle(now, message)
 
     def _vm_gone(self, now: float, message: VmGone) -> list[t.Any]:
         out = self._takeover.handle(now, message)
         if self._vms.pop(message.vm, None) is not None:
-            out += self._lose(now, message.vm)
+            out += self._lose_attempts(now, message.vm)
         return out
 
     def _list_read(self, now: float, message: VmListRead) -> list[t.Any]:
         return self._takeover.handle(now, message)
 
-    def _authorised(self, now: float, message: Authority) -> list[t.Any]:
+    def _update_authority(self, now: float, message: Authority) -> list[t.Any]:
         self._authority = message
         return []
 
-    def _answered(self, answer: Answer | None) -> list[t.Any]:
+    def _answer_callers(self, answer: Answer | None) -> list[t.Any]:
         if answer is None:
             return []
         waiting = self._requests.pop(answer.request_id, None)
@@ -298,9 +317,9 @@
             return []
         if not self._may_serve(work):
             return []
-        fresh = work.idempotent or self._takeover.may_run_unreported(work.issued_at)
-        if not fresh:
-            return self._answered(self.ledger.mark_uncertain(now, request_id))
+        may_run = work.idempotent or self._takeover.may_run_unreported(work.issued_at)
+        if not may_run:
+            return self._answer_callers(self.ledger.mark_uncertain(now, request_id))
         out: list[t.Any] = []
         for task in self.ledger.open_tasks(request_id):
             out += self._start(now, work, task)
@@ -312,7 +331,7 @@
         return self._authority.exclusive and self._takeover.serves_exclusive()
 
     def _start(self, now: float, work: Work, task: int) -> list[t.Any]:
-        vm = self._fitting(work.need)
+        vm = self._find_vm(work.need)
         if vm is None or not self.ledger.may_start(work.request_id, task):
             return []
         number = next(self._numbers)
@@ -323,7 +342,7 @@
         self.ledger.started(now, work.request_id, attempt_id, task)
         return [StartAttempt(vm, attempt_id, self._takeover.epoch, limit, work, task)]
 
-    def _fitting(self, need: Resources) -> str | None:
+    def _find_vm(self, need: Resources) -> str | None:
         for name, vm in self._rng.sample(list(self._vms.items()), len(self._vms)):
             if vm.leaving or not vm.reachable or not self._takeover.may_place(name):
                 continue
@@ -339,7 +358,7 @@
 
 
 _HANDLERS: dict[type, t.Callable[[t.Any, float, t.Any], list[t.Any]]] = {
-    Authority: FuzzShard._authorised,
+    Authority: FuzzShard._update_authority,
     Cancel: FuzzShard._cancel,
     ClaimReply: FuzzShard._claim_reply,
     PollReply: FuzzShard._poll_reply,
--- a/src/poplaryard/fuzz_worker.py
+++ b/src/poplaryard/fuzz_worker.py
@@ -1,4 +1,4 @@
-"""Smallest worker that keeps the guarantees G1 to G5 of the design page."""
+"""Minimal worker for the fuzzer, with the guarantees G1 to G5 of the design page."""
 
 import random
 import typing as t
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PollWorker:
-    """Renewal of the leases of all attempts.
+    """Poll of a worker; renews the leases of all its attempts.
 
     Attributes
     ----------
     valid_until_ms : int
-        Last moment on the worker's clock at which it renews.
+        Time on the worker's clock after which it renews no lease.
     exclusive_until_ms : int
-        The same for attempts under an exclusive key.
+        The same for attempts under an exclusive key, if it is earlier.
     """
 
     vm: str
@@ -43,6 +43,8 @@
 
 @dataclass(slots=True)
 class _Attempt:
+    """Attempt on a worker; times are on the worker's clock, 0 if not ended."""
+
     start: StartAttempt
     need: Resources
     lease_until: float
@@ -52,12 +54,24 @@
 
 
 class FakeWorker:
-    """Worker on a drifting clock; it does not check its own capacity.
+    """Worker with a drifting clock.
+
+    It does not check its own capacity, so that the oracle sees a VM that an owner
+    overcommits.
 
     Parameters
     ----------
     without : frozenset of str
-        Guarantees that are taken out.
+        Names of safety mechanisms that are disabled.
+
+    Attributes
+    ----------
+    rate, offset : float
+        Rate of the worker's clock and its reading at true time 0, in seconds.
+    leaving : bool
+        Whether the worker reports that its VM is leaving.
+    gone : bool
+        Whether the VM has failed.
     """
 
     def __init__(
@@ -78,14 +92,14 @@
         self._oracle = oracle
         self._without = without
         self._attempts: dict[str, _Attempt] = {}
-        oracle.vm(name, capacity)
+        oracle.add_vm(name, capacity)
 
     def clock(self, true_time: float) -> float:
-        """Return the worker's own clock."""
+        """Return the reading of the worker's clock in seconds."""
         return self.offset + true_time * self.rate
 
     def handle(self, true_time: float, message: t.Any) -> list[t.Any]:
-        """Take a call and return the replies."""
+        """Process a message; return the replies."""
         self.expire(true_time)
         if isinstance(message, ClaimWorker):
             return [self._claim(true_time, message)]
@@ -97,7 +111,7 @@
         return [self._poll(true_time, message)]
 
     def running(self) -> list[str]:
-        """Return the ids of the attempts that run."""
+        """Return the ids of the running attempts."""
         found = self._attempts.items()
         return [k for k, item in found if item.state is AttemptState.RUNNING]
 
@@ -108,34 +122,34 @@
         item.ended_at = self.clock(true_time)
         work = item.start.work
         item.body = f"{work.request_id}/{item.start.task}"
-        again = state is AttemptState.CHECKPOINTED
-        self._oracle.ended(self.name, work, item.start.task, item.need, again)
+        resumable = state is AttemptState.CHECKPOINTED
+        self._oracle.task_ended(self.name, work, item.start.task, item.need, resumable)
 
     def expire(self, true_time: float) -> None:
-        """Stop attempts whose lease has ended (G4)."""
+        """Stop attempts with an ended lease (G4); forget those that ended long ago."""
         now = self.clock(true_time)
         for attempt_id in self.running():
             if self._attempts[attempt_id].lease_until <= now:
                 self.finish(true_time, attempt_id, AttemptState.STOPPED)
-        old = [
+        forgotten = [
             k
             for k, item in self._attempts.items()
             if item.ended_at and item.ended_at + REMEMBERED_S <= now
         ]
-        for attempt_id in old:
+        for attempt_id in forgotten:
             del self._attempts[attempt_id]
 
     def fail(self, true_time: float) -> None:
-        """Lose the VM with everything on it."""
+        """Fail the VM; its attempts stop and it answers no more."""
         for attempt_id in self.running():
             self.finish(true_time, attempt_id, AttemptState.STOPPED)
         self.gone = True
 
-    def _fenced(self, epoch: int) -> bool:
+    def _is_stale(self, epoch: int) -> bool:
         return epoch < self._epoch and "epoch" not in self._without
 
     def _claim(self, true_time: float, message: ClaimWorker) -> ClaimReply:
-        if self._fenced(message.epoch):
+        if self._is_stale(message.epoch):
             return ClaimReply(self.name, self._epoch, False)
         self._epoch = max(self._epoch, message.epoch)
         clock_ms = int(self.clock(true_time) * 1000)
@@ -153,10 +167,11 @@
         return StartReply(self.name, message.attempt_id, code or Code.OK)
 
     def _refusal(self, true_time: float, message: StartAttempt) -> Code | None:
-        # Checked first: a late copy of a start that has begun is not "not run".
+        # Checked first: a delayed copy of a start that has begun must not be answered
+        # "not run".
         if message.attempt_id in self._attempts and "attempt_id" not in self._without:
             return Code.ATTEMPT_REPEATED
-        if self._fenced(message.epoch):
+        if self._is_stale(message.epoch):
             return Code.STALE_EPOCH
         late = self.clock(true_time) * 1000 > message.valid_until_ms
         if late and "valid_until" not in self._without:
@@ -169,18 +184,18 @@
         self._attempts[message.attempt_id] = item
         work = message.work
         attempt = message.attempt_id
-        self._oracle.began(self.name, work, message.task, item.need, attempt)
+        self._oracle.task_started(self.name, work, message.task, item.need, attempt)
 
     def _stop(self, true_time: float, message: StopAttempt) -> None:
-        if self._fenced(message.epoch) or message.attempt_id not in self.running():
+        if self._is_stale(message.epoch) or message.attempt_id not in self.running():
             return
-        kept = message.mode is StopMode.CHECKPOINT
-        state = AttemptState.CHECKPOINTED if kept else AttemptState.STOPPED
+        checkpoint = message.mode is StopMode.CHECKPOINT
+        state = AttemptState.CHECKPOINTED if checkpoint else AttemptState.STOPPED
         self.finish(true_time, message.attempt_id, state)
 
     def _poll(self, true_time: float, message: PollWorker) -> PollReply:
         clock = self.clock(true_time)
-        if not self._fenced(message.epoch):
+        if not self._is_stale(message.epoch):
             self._epoch = max(self._epoch, message.epoch)
             self._renew(clock, message)
         return PollReply(
@@ -202,7 +217,7 @@
 
 def _report(item: _Attempt) -> AttemptReport:
     work = item.start.work
-    found = AttemptReport(
+    report = AttemptReport(
         item.start.attempt_id,
         work.request_id,
         item.state,
@@ -210,4 +225,4 @@
         need=work.need,
         exclusive_key=work.exclusive_key,
     )
-    return found if item.body is None else replace(found, body=item.body)
+    return report if item.body is None else replace(report, body=item.body)
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -1,4 +1,4 @@
-"""Processes, workers, stores and undelivered messages of the fuzzer."""
+"""Simulated processes, workers, stores and network of the fuzzer."""
 
 import functools
 import random
@@ -26,41 +26,53 @@
 
 __all__ = ["MECHANISMS", "World"]
 
-# Safety mechanisms that can be taken out one at a time.
+# Safety mechanisms that the fuzzer can disable, to show that it detects their absence.
 MECHANISMS = {
     "epoch": "workers refuse lower epochs (G1)",
     "valid_until": "workers refuse starts after valid_until_ms (G2)",
     "attempt_id": "workers refuse an attempt id seen before (G3)",
     "renewal_limit": "workers refuse renewals after the authority's end",
-    "exclusive_renewal": "renewals of exclusive attempts end with full authority",
-    "lease_wait": "wait for the old owner's tasks before exclusive work",
-    "claim": "claim of a worker before placing on it",
-    "duplicate": "the ledger's check for a known id",
-    "unknown_outcome": "old ids are unknown while a worker is missing",
-    "charge": "charge of a VM before the start is sent",
+    "exclusive_renewal": "exclusive attempts need exclusive authority for renewal",
+    "lease_wait": "exclusive work waits until the old owner's tasks have ended",
+    "claim": "nothing is placed on a worker that is not claimed",
+    "duplicate": "the ledger recognizes known ids",
+    "unknown_outcome": "old ids have an unknown outcome while a worker is not claimed",
+    "charge": "a VM is charged before the start is sent",
     "ticket_order": "only a higher ticket number is applied",
     "promises": "no take-over while a promise lasts",
     "promise_in_flight": "no promise while a take-over is in flight",
-    "list_read": "claims are complete only for a list read after the take-over",
+    "list_read": "claims are complete only after the VM list was read again",
     "claims_new": "new VMs are claimed only while the store lease holds",
-    "departed": "ids older than the last departure of a VM are unknown",
-    "copy_age": "copies of a request older than answers are kept are ignored",
-    "known": "a member that joined later waits for the claims",
+    "departed": "ids older than the last removal of a VM have an unknown outcome",
+    "copy_age": "requests older than the retention of answers are ignored",
+    "known": "a process that the old owner did not know waits for the claims",
     "lease_end": "take-over only after the owner's lease has ended",
 }
 
+# Wall-clock time at true time 0, in seconds since the Unix epoch.
 WALL = 1_700_000_000.0
 VM_CAPACITY = Resources(4000, 4000, 0)
 
-# Most undelivered messages; beyond it the oldest are dropped, as full buffers would.
+# Limit of undelivered messages; above it the oldest quarter is dropped, as by a full
+# buffer.
 POOL_LIMIT = 400
 
-# Actions and messages kept for the report of a failure.
+# Number of actions and deliveries kept for the report of a failure.
 TRACE_LIMIT = 20_000
 
 
 @dataclass(slots=True, eq=False)
 class _Item:
+    """Undelivered message.
+
+    Attributes
+    ----------
+    call_id : int
+        Id of a store call, to which the reply refers; 0 in other messages.
+    sent_at : float
+        Time on the sender's monotonic clock; set in store calls only.
+    """
+
     sender: str
     to: str
     message: t.Any
@@ -72,16 +84,35 @@
 
 
 class World:
-    """State of one episode.
+    """State of one episode: clock, processes, workers, stores and network.
 
     Parameters
     ----------
     without : frozenset of str
-        Names from `MECHANISMS` that are taken out.
+        Names from `MECHANISMS` that are disabled.
     small : bool
         Whether to build one data centre with one shard and few processes.
     real_scheduler : bool
         Whether shards are owned by `ShardScheduler` and not by `FuzzShard`.
+
+    Attributes
+    ----------
+    true_time : float
+        Simulated time in seconds; the clocks of processes, workers and stores drift
+        from it.
+    list_up : bool
+        Whether the platform's VM list can be read.
+    slow_store : bool
+        Whether `Fuzzer.flush` leaves most messages of the stores undelivered.
+    data_centres : dict
+        Number of processes at the start, by data centre.
+    pool : list of _Item
+        Undelivered messages, oldest first.
+    cuts : set of frozenset of str
+        Pairs of endpoints that cannot reach each other. A process is named without
+        its incarnation, a store ``store/`` and its data centre.
+    accepted : Ticket
+        Last accepted ticket.
     """
 
     def __init__(
@@ -105,14 +136,18 @@
         self.cuts: set[frozenset[str]] = set()
         self.accepted = Ticket(1, "content 1")
         self._ids = 0
+        # VMs of the platform's list, each with whether it is leaving.
         self._vms: dict[str, tuple[VmSpec, bool]] = {}
+        # Entry process and work by token, for submissions that are not answered yet.
         self._callers: dict[str, tuple[str, Work]] = {}
         count = 1 if small else rng.choice((1, 1, 2))
-        most = 3 if small else 4
-        self.data_centres = {f"dc{i + 1}": rng.randint(1, most) for i in range(count)}
+        max_nodes = 3 if small else 4
+        self.data_centres = {
+            f"dc{i + 1}": rng.randint(1, max_nodes) for i in range(count)
+        }
         self.shard_count = 1 if small else rng.randint(1, 2)
         self.stores = {dc: FakeStore(rng) for dc in self.data_centres}
-        self.oracle.ticket(1, "content 1")
+        self.oracle.ticket_accepted(1, "content 1")
         for dc, count in self.data_centres.items():
             for index in range(rng.randint(1, 4)):
                 self.add_worker(f"{dc}-vm{index}", dc)
@@ -122,7 +157,7 @@
     # Names
 
     def wall(self) -> float:
-        """Return true wall-clock time."""
+        """Return the exact wall-clock time."""
         return WALL + self.true_time
 
     def next_id(self) -> int:
@@ -130,16 +165,16 @@
         self._ids += 1
         return self._ids
 
-    def lacks(self, mechanism: str) -> bool:
-        """Tell whether a mechanism is taken out."""
+    def disables(self, mechanism: str) -> bool:
+        """Return whether a mechanism is disabled."""
         return mechanism in self.without
 
     def shards(self, dc: str) -> tuple[str, ...]:
-        """Return the shards of a data centre."""
+        """Return the names of the shards of a data centre."""
         return tuple(shard_names(dc, self.shard_count))
 
     def all_shards(self) -> list[str]:
-        """Return the shards of the cell."""
+        """Return the names of all shards."""
         return [shard for dc in self.data_centres for shard in self.shards(dc)]
 
     def shard_of(self, vm: str) -> str:
@@ -154,51 +189,51 @@
         return home_shard(work.request_id, self.shards(node.dc))
 
     def listed(self, dc: str) -> dict[str, tuple[VmSpec, bool]]:
-        """Return the VMs of a data centre as the platform lists them, with flags."""
+        """Return the listed VMs of a data centre and whether each is leaving."""
         found = self._vms.items()
         return {vm: item for vm, item in found if item[0].data_centre == dc}
 
-    # Population
+    # Processes and workers
 
     def add_worker(self, name: str, dc: str) -> None:
-        """Add a worker VM and tell every process of its data centre."""
+        """Add a worker and list its VM."""
         worker = FakeWorker(name, VM_CAPACITY, self.rng, self.oracle, self.without)
         self.workers[name] = worker
         spec = VmSpec(name, dc, "r", name, VM_CAPACITY)
         self._vms[name] = spec, False
 
     def add_node(self, name: str, dc: str) -> None:
-        """Start a process."""
+        """Start a process and send it the last accepted ticket."""
         node = Node(name, dc, self, self.rng)
         self.nodes[name] = node
         node.deliver("store", self.accepted)
 
-    def weaken(self, node: Node) -> None:
-        """Take mechanisms out of a process's ownership."""
+    def patch_ownership(self, node: Node) -> None:
+        """Patch a process's ownership object to disable mechanisms."""
         ownership = t.cast(t.Any, node.ownership)
-        if self.lacks("promises"):
+        if self.disables("promises"):
             ownership.promises.given_until = lambda owner: float("-inf")
-        if self.lacks("promise_in_flight"):
+        if self.disables("promise_in_flight"):
             heartbeats = ownership._heartbeats
             heartbeats.reply = functools.partial(_promise_always, heartbeats)
-        if self.lacks("known"):
+        if self.disables("known"):
             ownership._is_known = lambda old, before: True
-        if self.lacks("lease_end"):
+        if self.disables("lease_end"):
             ownership._assignment.last_owner_if_free = ownership.owner_of
 
-    def weaken_takeover(self, takeover: Takeover) -> None:
-        """Take mechanisms out of a take-over."""
-        weak = t.cast(t.Any, takeover)
-        if self.lacks("claim"):
-            weak.may_place = lambda vm: True
-        if self.lacks("unknown_outcome"):
-            weak.may_run_unreported = lambda issued_at: True
+    def patch_takeover(self, takeover: Takeover) -> None:
+        """Patch a take-over to disable mechanisms."""
+        patched = t.cast(t.Any, takeover)
+        if self.disables("claim"):
+            patched.may_place = lambda vm: True
+        if self.disables("unknown_outcome"):
+            patched.may_run_unreported = lambda issued_at: True
 
-    def weaken_ledger(self, ledger: Ledger) -> None:
-        """Take the check for known ids out of a ledger."""
-        if self.lacks("duplicate"):
-            weak = t.cast(t.Any, ledger)
-            weak._register_known = functools.partial(_always_new, ledger)
+    def patch_ledger(self, ledger: Ledger) -> None:
+        """Patch a ledger to disable its check for known ids."""
+        if self.disables("duplicate"):
+            patched = t.cast(t.Any, ledger)
+            patched._register_known = functools.partial(_always_new, ledger)
 
     # Messages
 
@@ -206,7 +241,7 @@
         """Add an action to the trace."""
         self._trace.append((self.true_time, action, detail))
 
-    def lines(self) -> list[str]:
+    def trace_lines(self) -> list[str]:
         """Return the trace as text."""
         return [
             f"{true_time:9.3f} {action} {what}"
@@ -214,25 +249,25 @@
         ]
 
     def send(self, sender: str, to: str, message: t.Any) -> None:
-        """Put a message among the undelivered ones."""
+        """Add a message to the undelivered ones."""
         self.pool.append(_Item(sender, to, message))
         if len(self.pool) > POOL_LIMIT:
             del self.pool[: POOL_LIMIT // 4]
 
     def send_store(self, node: Node, call_id: int, message: t.Any) -> None:
-        """Put a store call among the undelivered messages."""
+        """Add a store call to the undelivered messages."""
         item = _Item(node.name, f"store/{node.dc}", message, call_id, node.now())
         self.pool.append(item)
 
     def deliver(self, item: "_Item", again: bool = False) -> None:
-        """Deliver an undelivered message, and keep a copy if `again`."""
+        """Deliver a message, or lose it at a cut; with `again`, keep it in the pool."""
         node = self.nodes.get(item.to)
         if node is not None and node.paused:
             return
         if not again:
             self.pool.remove(item)
         self.note("repeat" if again else "deliver", item)
-        if frozenset((_place(item.sender), _place(item.to))) in self.cuts:
+        if frozenset((_endpoint(item.sender), _endpoint(item.to))) in self.cuts:
             return
         if item.to.startswith("store/"):
             self._deliver_store(item)
@@ -270,11 +305,11 @@
     # Callers
 
     def submit(self, work: Work, entry: Node, attempt: int) -> str:
-        """Hand a request to an entry process, which forwards it to the owner."""
+        """Submit work to an entry process, which forwards it; return the token."""
         token = f"{entry.name}!{self.next_id()}!{attempt}"
         self.oracle.submitted(token, work)
         self._callers[token] = entry.name, work
-        owner = entry.entry_for(work)
+        owner = entry.owner_for(work)
         message = Submit(work, token, entry.wall(), attempt)
         if not owner:
             entry.answer(self.not_owner(message))
@@ -283,41 +318,47 @@
         return token
 
     def not_owner(self, message: Submit, handled: bool = False) -> Answer:
-        """Return the answer of a process that does not own the work's shard."""
+        """Return the answer of a process that does not own the work's shard.
+
+        If the process has `handled` the request before, its outcome is unknown.
+        """
         code = Code.UNKNOWN_OUTCOME if handled else Code.NOT_OWNER
         request_id = message.work.request_id
         return Answer(request_id, code, code.outcome, reply_to=message.reply_to)
 
-    def answered(self, node: Node, answer: Answer) -> None:
-        """Hand an answer to its caller, unless the entry has given it one."""
+    def deliver_answer(self, node: Node, answer: Answer) -> None:
+        """Pass an answer on to its caller, unless the caller has one already."""
         if self._callers.pop(answer.reply_to, None) is not None:
-            self.oracle.received(answer.reply_to, answer)
+            self.oracle.answer_received(answer.reply_to, answer)
 
     # VMs
 
     def mark_leaving(self, name: str) -> None:
-        """Let the platform's list say that a VM is leaving."""
+        """Mark a VM as leaving in the platform's list."""
         spec, _ = self._vms[name]
         self._vms[name] = spec, True
 
     def unlist_worker(self, name: str) -> None:
-        """Let the list drop a VM that has failed."""
+        """Remove a VM from the platform's list."""
         del self._vms[name]
 
 
 @dataclass(frozen=True, slots=True)
 class _StoreReply:
+    """Reply of a store; `reply` is None if it refused the connection."""
+
     reply: t.Any
 
 
-def _place(name: str) -> str:
-    """Return the name by which cuts know a process, without its incarnation."""
+def _endpoint(name: str) -> str:
+    """Return an endpoint's name in `World.cuts`, without the incarnation."""
     return name.partition("#")[0]
 
 
 def _always_new(
     ledger: t.Any, now: float, entry: t.Any, work: Work, *_: t.Any
 ) -> Registered:
+    """Register a known request as if it were new."""
     del ledger._entries[work.request_id]
     for attempt_id in entry.attempts:
         del ledger._by_attempt[attempt_id]
@@ -327,4 +368,5 @@
 def _promise_always(
     heartbeats: t.Any, now: float, message: Heartbeat, view: t.Any, _: str
 ) -> HeartbeatReply:
+    """Reply to a heartbeat as if no take-over were in flight."""
     return Heartbeats.reply(heartbeats, now, message, view, "")
--- a/src/poplaryard/load.py
+++ b/src/poplaryard/load.py
@@ -1,4 +1,4 @@
-"""Load generator: sends requests at a given rate, whatever the answers do."""
+"""Load generator that sends requests at a given rate, independent of the answers."""
 
 import asyncio
 import json
@@ -19,18 +19,28 @@
 
 _clock = SystemClock()
 
+# Largest latency that the histogram can hold; longer ones are counted as this.
 LARGEST_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 REQUEST_TIMEOUT_S = 30.0
-# Arrivals due within this time are sent in one step of the loop.
+# Requests due within this time are sent in one iteration of the loop.
 STEP_S = 0.001
 
 
 class LoadResult:
     """Latencies and codes of one run.
 
-    Latency is counted from the time at which a request was due, so that a generator
-    or server that falls behind cannot hide the wait.
+    Latency is measured from the time at which a request was due. So a generator or
+    server that falls behind does not hide the waiting time (coordinated omission).
+
+    Attributes
+    ----------
+    latency : HdrHistogram
+        Latencies in microseconds.
+    codes : Counter
+        Number of answers by code.
+    incomplete : int
+        Number of answers that are not complete or belong to another request.
     """
 
     def __init__(self) -> None:
@@ -38,16 +48,16 @@
         self.codes: Counter[int] = Counter()
         self.incomplete = 0
 
-    def record(self, due: float, code: int, whole: bool) -> None:
-        """Count one answer."""
+    def record(self, due: float, code: int, complete: bool) -> None:
+        """Record one answer; `due` is the time at which its request was due."""
         elapsed_us = int((_clock.now() - due) * 1e6)
         self.latency.record_value(min(max(elapsed_us, 1), LARGEST_US))
         self.codes[code] += 1
-        self.incomplete += not whole
+        self.incomplete += not complete
 
     def summary(self, rate: float, duration_s: float) -> dict[str, t.Any]:
-        """Return the figures as JSON; times in milliseconds."""
-        quantiles = {"p50": 50.0, "p99": 99.0, "p99.9": 99.9, "max": 100.0}
+        """Return the results as a JSON object; latencies are in milliseconds."""
+        percentiles = {"p50": 50.0, "p99": 99.0, "p99.9": 99.9, "max": 100.0}
         done = sum(self.codes.values())
         figures: dict[str, t.Any] = {
             "rate": rate,
@@ -55,9 +65,9 @@
             "codes": {str(code): count for code, count in sorted(self.codes.items())},
             "incomplete": self.incomplete,
         }
-        for name, value in quantiles.items():
-            found = self.latency.get_value_at_percentile(value) / 1000
-            figures[f"{name}_ms"] = round(found, 2)
+        for name, percentile in percentiles.items():
+            latency_ms = self.latency.get_value_at_percentile(percentile) / 1000
+            figures[f"{name}_ms"] = round(latency_ms, 2)
         return figures
 
 
@@ -72,14 +82,28 @@
     seed: int = 1,
     connections: int = 1024,
 ) -> LoadResult:
-    """Send requests with exponential gaps to the targets in turn.
+    """Send requests to the targets in turn, with exponentially distributed gaps.
+
+    Returns when every request has been answered or has timed out.
 
     Parameters
     ----------
+    targets : sequence of str
+        Addresses of entry processes, ``host:port``.
+    key : str
+        Caller key.
     rate : float
-        Requests per second.
+        Mean number of requests per second.
+    duration_s : float
+        Time in seconds during which requests become due.
+    service : str
+        Target named in each request.
     run_ms : float
-        Time for which an executor works on each request.
+        Time in milliseconds for which an executor works on each request.
+    seed : int
+        Seed of the gaps between requests.
+    connections : int
+        Limit of connections of the HTTP client.
     """
     client = HttpClient(connections, key)
     rng = random.Random(seed)
@@ -121,13 +145,13 @@
         result.record(due, int(exc.code), True)
         return
     code = int(reply.body["code"])
-    result.record(due, code, code != Code.OK or _whole(body, reply.body))
+    result.record(due, code, code != Code.OK or _is_complete(body, reply.body))
 
 
-def _whole(body: dict[str, t.Any], found: dict[str, t.Any]) -> bool:
-    """Tell whether an answer is the whole answer to this very request."""
-    parts = found.get("parts") or [{}]
-    same_id = found.get("id") == body["id"]
+def _is_complete(body: dict[str, t.Any], answer: dict[str, t.Any]) -> bool:
+    """Return whether an answer has the request's id and echoes its number."""
+    parts = answer.get("parts") or [{}]
+    same_id = answer.get("id") == body["id"]
     return same_id and parts[0].get("echo") == body["payload"]["echo"]
 
 
@@ -137,10 +161,10 @@
 @click.option("--rate", default=500.0, help="Requests per second.")
 @click.option("--duration", "duration_s", default=10.0, help="Seconds.")
 @click.option("--service", default="booking")
-@click.option("--run-ms", default=5.0, help="Work of each request in milliseconds.")
+@click.option("--run-ms", default=5.0, help="Execution time of each request in ms.")
 @click.option("--seed", default=1)
 def load(targets: tuple[str, ...], key: str, **options: t.Any) -> None:
-    """Send requests at a fixed rate and print latencies as JSON."""
+    """Send requests at a given mean rate; print the results as JSON."""
     result = asyncio.run(run_load(targets, key, **options))
     summary = result.summary(options["rate"], options["duration_s"])
     click.echo(json.dumps(summary))
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -9,21 +9,24 @@
 
 
 class WorldMachine(RuleBasedStateMachine):
-    """Guards against a short sequence of faults that breaks a promise."""
+    """Guards against short sequences of faults that break a promise.
+
+    Hypothesis picks the faults, so that a failure shrinks to a short sequence.
+    """
 
     @initialize(
         seed=st.integers(0, 2**16), scheduler=st.sampled_from(["small", "real"])
     )
-    def build(self, seed, scheduler):
+    def create_world(self, seed, scheduler):
         self.fuzzer = Fuzzer(seed, scheduler=scheduler)
-        self.progress(300)
+        self.take_random_steps(300)
 
     @rule(name=st.sampled_from(sorted(ACTIONS)))
-    def act(self, name):
+    def take_action(self, name):
         ACTIONS[name][0](self.fuzzer)
 
     @rule(steps=st.integers(1, 200))
-    def progress(self, steps):
+    def take_random_steps(self, steps):
         for _ in range(steps):
             self.fuzzer.step()
 
@@ -40,22 +43,22 @@
 
 
 class FuzzTest(testtools.TestCase):
-    def test_same_seed_takes_the_same_steps(self):
-        """Guards against a failure that its seed does not repeat."""
+    def test_same_seed_gives_the_same_trace(self):
+        """Guards against a failure that its seed does not reproduce."""
         self.assertEqual(_trace(5), _trace(5))
 
-    def test_promises_hold_over_a_fixed_budget(self):
-        """Guards against a broken promise after a change."""
+    def test_promises_hold_over_fixed_number_of_steps(self):
+        """Guards against a change that breaks a promise under random faults."""
         for scheduler in ("small", "real"):
             self.assertGreater(run(1, 20_000, scheduler=scheduler)["starts"], 100)
 
-    def test_removed_mechanisms_are_noticed(self):
-        """Guards against a fuzzer that finds nothing."""
+    def test_disabled_mechanisms_are_detected(self):
+        """Guards against a fuzzer that does not detect a missing safety mechanism."""
         for name in ("charge", "attempt_id", "duplicate"):
             self.assertRaises(Failure, run, 1, 20_000, frozenset({name}))
 
     def test_command_prints_seed_and_broken_promise(self):
-        """Guards against a failure that cannot be repeated from its output."""
+        """Guards against output from which a failure cannot be reproduced."""
         args = ["--steps", "20000", "--without", "charge"]
         result = CliRunner().invoke(fuzz.main, args)
         self.assertEqual(1, result.exit_code)
@@ -67,4 +70,4 @@
     fuzzer = Fuzzer(seed)
     for _ in range(1000):
         fuzzer.step()
-    return fuzzer.world.lines()
+    return fuzzer.world.trace_lines()
