--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -1,9 +1,10 @@
-"""Table of every fault at every step, and the driver of its cells.
+"""Matrix of every fault at every step, and the driver of its cells.
 
-Each cell brings a small world of real decision objects to a step, injects a fault
-there, lets it last, heals it, and lets the callers ask until each has a final answer.
-The oracle checks the promises throughout. ``python -m tests.fault_matrix`` prints the
-page.
+Each cell simulates a small system whose ownership, take-over and scheduler are the real
+classes. It brings the system to a step, injects a fault, keeps it up for `FAULT_S`,
+heals it, and lets the callers retry until each has a final answer. The oracle checks
+the promises P1 to P5 throughout. ``python -m tests.fault_matrix`` prints the page
+``docs/fault-matrix.md``.
 """
 
 import random
@@ -31,17 +32,20 @@
 
 STEP_S = 0.05
 STEP_LIMIT_S = 30.0
-# Outlasts a store lease and the wait after it, so that authority lapses in the cell.
+# Longer than a store lease and the wait after it, so that an owner that can't renew its
+# lease loses its authority during the fault.
 FAULT_S = 16.0
 RECOVERY_S = 60.0
+# Allowance for skew between wall clocks.
 SKEW_S = 5.0
+# Time after which a call to a worker without reply fails.
 CALL_TIMEOUT_S = 1.5
 RAN = "ran"
 UNKNOWN = "unknown"
 
 
 class _LargestWorld(random.Random):
-    """Random source that makes the largest small world and exact clocks."""
+    """Random source for the largest small world, with clocks that have no error."""
 
     def randint(self, a, b):
         return b
@@ -50,15 +54,23 @@
         return (a + b) / 2
 
 
-class Cell:
-    """One world on its way through a step and a fault."""
+class Scenario:
+    """System of one cell, and the callers that submit work to it.
+
+    Attributes
+    ----------
+    outcomes : dict of str to str
+        Final outcomes by request id.
+    finishing : bool
+        Whether the workers finish attempts after half a second.
+    """
 
     def __init__(self, idempotent=False, *, real=True, without=frozenset()):
         self.world = World(_LargestWorld(1), without, small=True, real_scheduler=real)
         self.outcomes = {}
         self.finishing = True
-        self._held_until = {}
-        self._seen = {}
+        self._ends_at = {}
+        self._notified = {}
         self._works = {}
         self._tries = {}
         self.idempotent = idempotent
@@ -67,19 +79,20 @@
 
     # Processes
 
-    def live(self):
+    def live_nodes(self):
         return [n for n in self.world.nodes.values() if n.alive and not n.left]
 
     def owner(self):
-        return next((n for n in self.live() if self.shard in n.shards), None)
+        return next((n for n in self.live_nodes() if self.shard in n.shards), None)
 
-    def other(self):
+    def other_node(self):
         owner = self.owner()
-        return next(n for n in self.live() if n is not owner and not n.paused)
+        return next(n for n in self.live_nodes() if n is not owner and not n.paused)
 
     # Work
 
     def submit(self, request_id, **fields):
+        """Submit work, by default a batch job of the scenario's idempotence."""
         fields.setdefault("kind", WorkKind.BATCH)
         fields.setdefault("need", Resources(1000, 100, 0))
         fields.setdefault("idempotent", self.idempotent)
@@ -87,10 +100,11 @@
         work = Work(request_id, issued_at=self.world.wall(), **fields)
         self._works[request_id] = work
         self._tries[request_id] = 0
-        self._ask(request_id)
+        self._send(request_id)
 
-    def _ask(self, request_id):
-        entries = [n for n in self.live() if not n.paused]
+    def _send(self, request_id):
+        """Send a request to an entry process, another one at each try."""
+        entries = [n for n in self.live_nodes() if not n.paused]
         if not entries:
             return
         owner = self.owner()
@@ -99,7 +113,8 @@
         self._tries[request_id] += 1
         self.world.submit(self._works[request_id], entry, self._tries[request_id])
 
-    def note_answers(self, message):
+    def record_answer(self, message):
+        """Keep the first final outcome of each request."""
         if not isinstance(message, Answer):
             return
         if message.outcome is not Outcome.NOT_RUN and message.request_id in self._works:
@@ -108,15 +123,20 @@
     # Time
 
     def run(self, seconds, until=None):
-        """Deliver messages in order for a time; stop before one that `until` names."""
+        """Deliver messages in order for some seconds.
+
+        Stop before the delivery of a message that `until` accepts, and return whether
+        there was one.
+        """
         end = self.world.real + seconds
         while self.world.real < end:
             if self._deliver_all(until):
                 return True
-            self._pass()
+            self._advance()
         return False
 
     def _deliver_all(self, until):
+        # Deliveries send new messages; the limit ends exchanges that never stop.
         for _ in range(8):
             items = list(self.world.pool)
             for item in items:
@@ -130,69 +150,73 @@
         node = self.world.nodes.get(item.to)
         if node is not None and node.paused:
             return
-        self.note_answers(item.message)
+        self.record_answer(item.message)
         self.world.deliver(item)
 
-    def _pass(self):
+    def _advance(self):
+        """Advance the time by one step."""
         world = self.world
         world.real += STEP_S
         for worker in world.workers.values():
             if not worker.gone:
                 worker.expire(world.real)
-                self._finish(worker)
-        for node in self.live():
+                self._finish_attempts(worker)
+        for node in self.live_nodes():
             if not node.paused:
-                self._watch(node)
+                self._notify_watcher(node)
                 node.tick()
 
-    def _watch(self, node):
-        """Report a changed record or ended lease to a process that watches them."""
-        store, place = self.world.stores[node.dc], f"store/{node.dc}"
-        cut = frozenset((_place(node.name), place)) in self.world.cuts
+    def _notify_watcher(self, node):
+        """Notify a process that watches the store of changed records and leases."""
+        store, store_endpoint = self.world.stores[node.dc], f"store/{node.dc}"
+        cut = frozenset((_endpoint(node.name), store_endpoint)) in self.world.cuts
         if not node.watching or store.down or cut:
             return
         seen = store.seen(self.world.real)
-        if self._seen.get(node.name) != (seen.version, seen.live):
-            self._seen[node.name] = seen.version, seen.live
+        if self._notified.get(node.name) != (seen.version, seen.live):
+            self._notified[node.name] = seen.version, seen.live
             node.give(seen)
 
-    def _finish(self, worker):
+    def _finish_attempts(self, worker):
         if not self.finishing:
             return
         for attempt in worker.running():
-            first = self._held_until.setdefault(attempt, self.world.real + 0.5)
-            if self.world.real >= first:
+            ends_at = self._ends_at.setdefault(attempt, self.world.real + 0.5)
+            if self.world.real >= ends_at:
                 worker.finish(self.world.real, attempt, AttemptState.SUCCEEDED)
 
-    def settle(self):
-        """Let every caller ask again until each has a final answer."""
+    def retry_until_answered(self):
+        """Let the callers retry until each has a final answer or `RECOVERY_S` ends."""
         for _ in range(int(RECOVERY_S)):
-            if not self.ask_again():
+            if not self.retry_unanswered():
                 return
             self.run(1.0)
 
-    def ask_again(self):
-        """Let the callers without a final answer ask again; return their number."""
-        open_ones = [r for r in self._works if r not in self.outcomes]
-        for request_id in open_ones:
-            self._ask(request_id)
-        return len(open_ones)
+    def retry_unanswered(self):
+        """Resubmit the requests without a final answer; return their number."""
+        unanswered = [r for r in self._works if r not in self.outcomes]
+        for request_id in unanswered:
+            self._send(request_id)
+        return len(unanswered)
 
 
-def _to(kind, **fields):
+def _is_message(kind, **fields):
+    """Return a predicate for messages of a class with these field values."""
+
     def matches(item):
         message = item.message
-        found = isinstance(message, kind)
-        return found and all(getattr(message, k) == v for k, v in fields.items())
+        of_kind = isinstance(message, kind)
+        return of_kind and all(getattr(message, k) == v for k, v in fields.items())
 
     return matches
 
 
-def _reply(kind):
+def _is_store_reply(kind):
+    """Return a predicate for store replies of a class."""
     return lambda item: isinstance(getattr(item.message, "reply", None), kind)
 
 
-def _report_of_end(item):
+def _is_end_of_r1(item):
     message = item.message
     return isinstance(message, PollReply) and any(
         report.state is AttemptState.SUCCEEDED and report.request_id == "r1"
@@ -200,267 +224,278 @@
     )
 
 
-def _start_of_r1(item):
+def _is_start_of_r1(item):
     message = item.message
     return isinstance(message, StartAttempt) and message.work.request_id == "r1"
 
 
-def _at(until):
-    def reach(cell):
-        cell.submit("r1")
-        return cell.run(STEP_LIMIT_S, until)
+# Steps. Each brings a scenario to a point of time and returns whether it was reached.
+
+
+def _request_at(until):
+    def reach(scenario):
+        scenario.submit("r1")
+        return scenario.run(STEP_LIMIT_S, until)
 
     return reach
 
 
-def _waiting(cell):
-    """Fill the shard so that the request has to wait."""
-    cell.finishing = False
+def _request_waits(scenario):
+    """Fill all workers so that the request has to wait."""
+    scenario.finishing = False
     for index in range(4):
-        cell.submit(f"f{index}", need=Resources(4000, 100, 0), exclusive_key="")
-    cell.run(3.0)
-    cell.submit("r1")
-    cell.run(0.5)
-    cell.finishing = True
-    return "r1" not in cell.outcomes
+        scenario.submit(f"f{index}", need=Resources(4000, 100, 0), exclusive_key="")
+    scenario.run(3.0)
+    scenario.submit("r1")
+    scenario.run(0.5)
+    scenario.finishing = True
+    return "r1" not in scenario.outcomes
 
 
-def _running(cell):
-    cell.submit("r1")
-    cell.run(0.3)
-    return any(worker.running() for worker in cell.world.workers.values())
+def _request_runs(scenario):
+    scenario.submit("r1")
+    scenario.run(0.3)
+    return any(worker.running() for worker in scenario.world.workers.values())
 
 
 def _take_over_at(until):
-    def reach(cell):
-        cell.submit("r0", exclusive_key="")
-        cell.run(0.3)
-        cell.submit("r1")
-        _kill(cell, cell.owner())
+    def reach(scenario):
+        scenario.submit("r0", exclusive_key="")
+        scenario.run(0.3)
+        scenario.submit("r1")
+        _kill(scenario, scenario.owner())
         for _ in range(int(STEP_LIMIT_S)):
-            if cell.run(1.0, until):
+            if scenario.run(1.0, until):
                 return True
-            cell.ask_again()
+            scenario.retry_unanswered()
         return False
 
     return reach
 
 
 def _leave_at(until):
-    def reach(cell):
-        cell.submit("r1")
-        cell.run(0.3)
-        cell.owner().give(Leave())
-        return cell.run(STEP_LIMIT_S, until)
+    def reach(scenario):
+        scenario.submit("r1")
+        scenario.run(0.3)
+        scenario.owner().give(Leave())
+        return scenario.run(STEP_LIMIT_S, until)
 
     return reach
 
 
 def _gang_at(until):
-    def reach(cell):
-        cell.submit("r1", tasks=3, need=Resources(3000, 100, 0))
-        return cell.run(STEP_LIMIT_S, until)
+    def reach(scenario):
+        scenario.submit("r1", tasks=3, need=Resources(3000, 100, 0))
+        return scenario.run(STEP_LIMIT_S, until)
 
     return reach
 
 
 STEPS = {
-    "request: sent to the owner": _at(_to(Submit)),
-    "request: waiting for room": _waiting,
-    "request: start sent": _at(_start_of_r1),
-    "request: start answered": _at(_to(StartReply)),
-    "request: running": _running,
-    "request: end reported": _at(_report_of_end),
-    "request: answer sent": _at(_to(Answer, request_id="r1")),
-    "job of 3 tasks: first start sent": _gang_at(_start_of_r1),
-    "job of 3 tasks: first start answered": _gang_at(_to(StartReply)),
-    "take-over: write of the epoch sent": _take_over_at(_to(WriteRecord)),
-    "take-over: write answered": _take_over_at(_reply(RecordWritten)),
-    "take-over: claim sent": _take_over_at(_to(ClaimWorker)),
-    "take-over: first start sent": _take_over_at(_start_of_r1),
-    "shutdown: release sent": _leave_at(_to(WriteRecord)),
-    "shutdown: release answered": _leave_at(_reply(RecordWritten)),
-    "shutdown: lease given back": _leave_at(_to(RevokeLease)),
+    "request: sent to the owner": _request_at(_is_message(Submit)),
+    "request: waiting for room": _request_waits,
+    "request: start sent": _request_at(_is_start_of_r1),
+    "request: start answered": _request_at(_is_message(StartReply)),
+    "request: running": _request_runs,
+    "request: end reported": _request_at(_is_end_of_r1),
+    "request: answer sent": _request_at(_is_message(Answer, request_id="r1")),
+    "job of 3 tasks: first start sent": _gang_at(_is_start_of_r1),
+    "job of 3 tasks: first start answered": _gang_at(_is_message(StartReply)),
+    "take-over: write of the epoch sent": _take_over_at(_is_message(WriteRecord)),
+    "take-over: write answered": _take_over_at(_is_store_reply(RecordWritten)),
+    "take-over: claim sent": _take_over_at(_is_message(ClaimWorker)),
+    "take-over: first start sent": _take_over_at(_is_start_of_r1),
+    "shutdown: release sent": _leave_at(_is_message(WriteRecord)),
+    "shutdown: release answered": _leave_at(_is_store_reply(RecordWritten)),
+    "shutdown: lease given back": _leave_at(_is_message(RevokeLease)),
 }
 
 
-# Faults. Each returns a function that heals it.
+# Faults. Each is injected at once and returns a function that heals it.
 
 
-def _nothing():
+def _no_heal():
     return None
 
 
-def _kill(cell, node):
+def _kill(scenario, node):
+    """End a process; its replacement starts at once."""
     if node is None:
         return
     node.alive = False
     base, _, number = node.name.partition("#")
-    cell.world.add_node(f"{base}#{int(number) + 1}", node.dc)
+    scenario.world.add_node(f"{base}#{int(number) + 1}", node.dc)
 
 
-def _owner_dies(cell):
-    _kill(cell, cell.owner())
-    return _nothing
+def _owner_dies(scenario):
+    _kill(scenario, scenario.owner())
+    return _no_heal
 
 
-def _entry_dies(cell):
-    _kill(cell, cell.other())
-    return _nothing
+def _entry_dies(scenario):
+    _kill(scenario, scenario.other_node())
+    return _no_heal
 
 
-def _owner_pauses(cell):
-    owner = cell.owner()
+def _owner_pauses(scenario):
+    owner = scenario.owner()
     if owner is None:
-        return _nothing
+        return _no_heal
     owner.paused = True
     return lambda: setattr(owner, "paused", False)
 
 
-def _entry_pauses(cell):
-    entry = cell.other()
+def _entry_pauses(scenario):
+    entry = scenario.other_node()
     entry.paused = True
     return lambda: setattr(entry, "paused", False)
 
 
-def _busy_worker(cell):
-    sent = [i.to for i in cell.world.pool if isinstance(i.message, StartAttempt)]
-    busy = [w.name for w in cell.world.workers.values() if w.running()]
-    return cell.world.workers[(sent + busy + list(cell.world.workers))[0]]
+def _busy_worker(scenario):
+    """Return a worker that is sent a start, else one that runs something, else any."""
+    sent = [i.to for i in scenario.world.pool if isinstance(i.message, StartAttempt)]
+    busy = [w.name for w in scenario.world.workers.values() if w.running()]
+    return scenario.world.workers[(sent + busy + list(scenario.world.workers))[0]]
 
 
-def _vm_fails(cell):
-    worker = _busy_worker(cell)
-    worker.fail(cell.world.real)
-    cell.world.unlist_worker(worker.name)
-    cell.world.add_worker(f"dc1-vm{cell.world.next_id() + 100}", "dc1")
-    return _nothing
+def _vm_fails(scenario):
+    worker = _busy_worker(scenario)
+    worker.fail(scenario.world.real)
+    scenario.world.unlist_worker(worker.name)
+    scenario.world.add_worker(f"dc1-vm{scenario.world.next_id() + 100}", "dc1")
+    return _no_heal
 
 
-def _vm_fails_list_lags(cell):
-    worker = _busy_worker(cell)
-    worker.fail(cell.world.real)
-    return lambda: cell.world.unlist_worker(worker.name)
+def _vm_fails_list_lags(scenario):
+    worker = _busy_worker(scenario)
+    worker.fail(scenario.world.real)
+    return lambda: scenario.world.unlist_worker(worker.name)
 
 
-def _vm_leaves(cell):
-    cell.world.leave_worker(_busy_worker(cell).name)
-    return _nothing
+def _vm_leaves(scenario):
+    scenario.world.leave_worker(_busy_worker(scenario).name)
+    return _no_heal
 
 
-def _store_down(cell):
-    store = cell.world.stores["dc1"]
+def _store_down(scenario):
+    store = scenario.world.stores["dc1"]
     store.down = True
     return lambda: setattr(store, "down", False)
 
 
-def _drop(cell, matches):
-    cell.world.pool[:] = [i for i in cell.world.pool if not matches(i)]
+def _drop(scenario, matches):
+    scenario.world.pool[:] = [i for i in scenario.world.pool if not matches(i)]
 
 
-def _store_reply_lost(cell):
-    _drop(cell, lambda item: item.sender.startswith("store/"))
-    return _nothing
+def _store_reply_lost(scenario):
+    _drop(scenario, lambda item: item.sender.startswith("store/"))
+    return _no_heal
 
 
-def _store_call_lost(cell):
-    _drop(cell, lambda item: item.to.startswith("store/"))
-    return _nothing
+def _store_call_lost(scenario):
+    _drop(scenario, lambda item: item.to.startswith("store/"))
+    return _no_heal
 
 
-def _cut(cell, pairs):
+def _cut(scenario, pairs):
+    """Let no message pass between the endpoints of each pair."""
     cuts = {frozenset(pair) for pair in pairs}
-    cell.world.cuts |= cuts
-    return lambda: cell.world.cuts.difference_update(cuts)
+    scenario.world.cuts |= cuts
+    return lambda: scenario.world.cuts.difference_update(cuts)
 
 
-def _place(name):
+def _endpoint(name):
+    """Return the network endpoint of a process: its name without the incarnation."""
     return name.partition("#")[0]
 
 
-def _places(cell):
-    return sorted({_place(name) for name in cell.world.nodes})
+def _endpoints(scenario):
+    return sorted({_endpoint(name) for name in scenario.world.nodes})
 
 
-def _cut_from_platform(cell):
-    return _cut(cell, [(place, "store/dc1") for place in _places(cell)])
+def _cut_from_platform(scenario):
+    return _cut(
+        scenario, [(endpoint, "store/dc1") for endpoint in _endpoints(scenario)]
+    )
 
 
-def _owner_cut_from_store(cell):
-    owner = cell.owner()
-    return _cut(cell, [(_place(owner.name), "store/dc1")] if owner else [])
+def _owner_cut_from_store(scenario):
+    owner = scenario.owner()
+    return _cut(scenario, [(_endpoint(owner.name), "store/dc1")] if owner else [])
 
 
-def _owner_cut_from_all(cell):
-    owner = cell.owner()
+def _owner_cut_from_all(scenario):
+    owner = scenario.owner()
     if owner is None:
-        return _nothing
-    me = _place(owner.name)
-    others = [place for place in _places(cell) if place != me]
-    return _cut(cell, [(me, place) for place in [*others, "store/dc1"]])
+        return _no_heal
+    me = _endpoint(owner.name)
+    others = [endpoint for endpoint in _endpoints(scenario) if endpoint != me]
+    return _cut(scenario, [(me, endpoint) for endpoint in [*others, "store/dc1"]])
 
 
-def _owner_cut_from_workers(cell):
-    owner = cell.owner()
-    me = _place(owner.name) if owner else ""
-    return _cut(cell, [(me, worker) for worker in cell.world.workers] if me else [])
+def _owner_cut_from_workers(scenario):
+    owner = scenario.owner()
+    me = _endpoint(owner.name) if owner else ""
+    return _cut(
+        scenario, [(me, worker) for worker in scenario.world.workers] if me else []
+    )
 
 
-def _rack_lost(cell):
-    """Lose one entry VM and half of the workers for a time."""
-    lost = [_place(cell.other().name), *list(cell.world.workers)[:2]]
-    kept = [*_places(cell), *cell.world.workers, "store/dc1"]
+def _rack_lost(scenario):
+    """Cut one entry VM and half of the workers off from everything else."""
+    lost = [_endpoint(scenario.other_node().name), *list(scenario.world.workers)[:2]]
+    kept = [*_endpoints(scenario), *scenario.world.workers, "store/dc1"]
     pairs = [(a, b) for a in lost for b in kept if a != b]
-    return _cut(cell, pairs)
+    return _cut(scenario, pairs)
 
 
-def _all_restart(cell):
-    for node in cell.live():
-        _kill(cell, node)
-    return _nothing
+def _all_restart(scenario):
+    for node in scenario.live_nodes():
+        _kill(scenario, node)
+    return _no_heal
 
 
-def _store_down_and_owner_dies(cell):
-    heal = _store_down(cell)
-    _owner_dies(cell)
+def _store_down_and_owner_dies(scenario):
+    heal = _store_down(scenario)
+    _owner_dies(scenario)
     return heal
 
 
-def _owner_and_vm_die(cell):
-    _vm_fails(cell)
-    _owner_dies(cell)
-    return _nothing
+def _owner_and_vm_die(scenario):
+    _vm_fails(scenario)
+    _owner_dies(scenario)
+    return _no_heal
 
 
-def _cancellations(cell):
+def _cancellations(scenario):
     for request_id in ("r1", *(f"c{index}" for index in range(30))):
-        for node in cell.live():
-            cell.world.send("caller", node.name, Cancel(request_id))
-    return _nothing
+        for node in scenario.live_nodes():
+            scenario.world.send("caller", node.name, Cancel(request_id))
+    return _no_heal
 
 
-def _repeated(cell):
-    """Deliver everything under way twice."""
-    for item in list(cell.world.pool):
-        if not item.sender.startswith("store/") and item in cell.world.pool:
-            cell.world.deliver(item, again=True)
-    return _nothing
+def _repeated(scenario):
+    """Deliver every message in flight, other than store replies, twice."""
+    for item in list(scenario.world.pool):
+        if not item.sender.startswith("store/") and item in scenario.world.pool:
+            scenario.world.deliver(item, again=True)
+    return _no_heal
 
 
-def _lost(cell):
-    """Lose all messages; a start without reply times out, as the worker calls do."""
-    starts = [i for i in cell.world.pool if isinstance(i.message, StartAttempt)]
-    replies = [i for i in cell.world.pool if isinstance(i.message, StartReply)]
-    cell.world.pool.clear()
-    cell.run(CALL_TIMEOUT_S)
+def _lost(scenario):
+    """Drop all messages in flight; starts that lack a reply time out."""
+    starts = [i for i in scenario.world.pool if isinstance(i.message, StartAttempt)]
+    replies = [i for i in scenario.world.pool if isinstance(i.message, StartReply)]
+    scenario.world.pool.clear()
+    scenario.run(CALL_TIMEOUT_S)
     calls = [(i.sender, i.to) for i in starts] + [(i.to, i.sender) for i in replies]
     for process, vm in calls:
-        cell.world.nodes[process].give_shard(cell.shard, WorkerUnreachable(vm))
-    return _nothing
+        scenario.world.nodes[process].give_shard(scenario.shard, WorkerUnreachable(vm))
+    return _no_heal
 
 
 FAULTS = {
-    "none": lambda cell: _nothing,
+    "none": lambda scenario: _no_heal,
     "owner dies": _owner_dies,
     "owner pauses past its lease": _owner_pauses,
     "another entry process dies": _entry_dies,
@@ -485,16 +520,16 @@
     "store down, owner dies": _store_down_and_owner_dies,
     "owner and worker VM die together": _owner_and_vm_die,
 }
-# Pairs of faults are tried at the steps that write or start something.
+# Steps that write or start something; only these are combined with pairs of faults.
 PAIR_STEPS = tuple(
     step
     for step in STEPS
     if step.startswith(("request: start", "take-over", "shutdown", "request: running"))
 )
 
-# Faults after which it may be unknown whether non-idempotent work ran: the only
-# witness, the worker or the owner's memory of it, may be gone or out of reach.
-_WITNESS_LOST = frozenset(
+# Faults after which it may be unknown whether non-idempotent work ran: the worker that
+# knows, or the owner's memory of the attempt, may be gone or out of reach.
+_KNOWLEDGE_LOST = frozenset(
     {
         "worker VM fails",
         "worker VM fails, list lags",
@@ -505,8 +540,9 @@
         "everything restarts",
     }
 )
-# Faults that remove a second process; in a take-over it may have sent the attempt.
-_SECOND_LOSS = frozenset(
+# Faults that remove a second process. The first was the owner killed for the take-over;
+# the second may have sent an attempt of which no process is left to know.
+_SECOND_PROCESS_LOST = frozenset(
     {
         "owner dies",
         "owner pauses past its lease",
@@ -515,18 +551,18 @@
         "store down, owner dies",
     }
 )
-# A cancelled request that has started is stopped, and one that has not is not run.
+# A cancelled request is stopped if it has started, and not run otherwise.
 _CANCELLED = "cancellation wave"
 
 
 def expected(step, fault, idempotent):
-    """Return the outcomes a cell allows, from the promises and not from runs."""
+    """Return the outcomes that the promises allow in a cell."""
     if fault == _CANCELLED:
         return frozenset({RAN, UNKNOWN, "not_run"})
-    second = step.startswith("take-over") and fault in _SECOND_LOSS
-    # A worker that does not name a start may have restarted and forgotten it.
-    unnamed = step.endswith("start sent") and fault == "messages under way lost"
-    if not idempotent and (second or unnamed or fault in _WITNESS_LOST):
+    second_lost = step.startswith("take-over") and fault in _SECOND_PROCESS_LOST
+    # A worker that does not report a start may have restarted and forgotten it.
+    unreported = step.endswith("start sent") and fault == "messages under way lost"
+    if not idempotent and (second_lost or unreported or fault in _KNOWLEDGE_LOST):
         return frozenset({RAN, UNKNOWN})
     return frozenset({RAN})
 
@@ -538,41 +574,44 @@
 
 
 def run_cell(step, fault, idempotent, **options):
-    """Return the outcome of the cell's request and of one handed in afterwards."""
-    cell = Cell(idempotent, **options)
-    if not STEPS[step](cell):
+    """Return the outcomes of the cell's request and of one submitted afterwards."""
+    scenario = Scenario(idempotent, **options)
+    if not STEPS[step](scenario):
         raise AssertionError(f"step not reached: {step}")
-    heal = {**FAULTS, **PAIRS}[fault](cell)
-    cell.run(FAULT_S)
+    heal = {**FAULTS, **PAIRS}[fault](scenario)
+    scenario.run(FAULT_S)
     heal()
-    cell.run(2.0)
+    scenario.run(2.0)
     if fault == _CANCELLED:
-        cell.outcomes.setdefault("r1", "not_run")
-    cell.settle()
-    # After a take-over, ids issued up to the clock-skew allowance after this process
-    # has read that an unclaimed VM left are answered "unknown".
-    cell.run(SKEW_S + max(LIST_S) + 1.0)
-    cell.submit("after")
-    cell.settle()
-    return cell.outcomes.get("r1"), cell.outcomes.get("after")
+        scenario.outcomes.setdefault("r1", "not_run")
+    scenario.retry_until_answered()
+    # After a take-over, an owner that learns from the list that an unclaimed VM has
+    # left answers "unknown" for ids issued until then plus the skew allowance. Wait for
+    # the next reading of the list, so that the last request's id is newer.
+    scenario.run(SKEW_S + max(LIST_S) + 1.0)
+    scenario.submit("after")
+    scenario.retry_until_answered()
+    return scenario.outcomes.get("r1"), scenario.outcomes.get("after")
 
 
 def main():
     """Print the page."""
     print(PAGE_HEAD)
     for step in STEPS:
-        rows = [fault for found, fault in cells() if found == step]
+        rows = [fault for cell_step, fault in cells() if cell_step == step]
         print(f"\n### {step}\n\n| fault | non-idempotent, exclusive | idempotent |")
         print("| --- | --- | --- |")
         for fault in rows:
-            found = (sorted(expected(step, fault, i)) for i in (False, True))
-            once, again = (" or ".join(item).replace("_", " ") for item in found)
-            print(f"| {fault} | {once} | {again} |")
+            outcomes = (sorted(expected(step, fault, i)) for i in (False, True))
+            exclusive, idempotent = (
+                " or ".join(item).replace("_", " ") for item in outcomes
+            )
+            print(f"| {fault} | {exclusive} | {idempotent} |")
     print("\n## Tickets\n\n| step | fault | expected |\n| --- | --- | --- |")
     for step, fault in tickets.filing_cells():
         print(f"| {step} | {fault}, alone and with a rival filer | {tickets.FILED} |")
-    for step, fault in tickets.spread_cells():
-        print(f"| {step} | {fault} | {tickets.SPREAD} |")
+    for step, fault in tickets.rollout_cells():
+        print(f"| {step} | {fault} | {tickets.ROLLED_OUT} |")
     print(PAGE_TAIL)
 
 
--- a/tests/fault_matrix_tickets.py
+++ b/tests/fault_matrix_tickets.py
@@ -1,4 +1,4 @@
-"""Ticket rows of the fault matrix, over `Acceptance` and `Rollout`."""
+"""Rows of the fault matrix for the acceptance and the rollout of tickets."""
 
 import asyncio
 
@@ -7,16 +7,21 @@
 from poplaryard.codes import Code
 
 from .fake_store import FakeStore, service, ticket
-from .test_rollout import World
+from .test_rollout import Simulation
 
 FAULT_S = 8.0
+# Time after a fault within which a ticket has to be in force.
 IN_FORCE_S = 3.0
+# Faults of one store call, as `FakeStore.fail_call` takes them.
 CALL_FAULTS = ("down", "dropped", "lost")
-# One more than the store calls of a ticket that touches one object.
+# Store calls of a filing that are made to fail: one more than the filing of a ticket
+# with one object makes.
 CALLS = 8
 
 FILED = "accepted once, or not accepted and absent; filing again gives one number"
-SPREAD = "in force on every process within 3 s of the fault's end, never an older one"
+ROLLED_OUT = (
+    "in force on every process within 3 s of the fault's end, never an older one"
+)
 
 
 def filing_cells():
@@ -29,7 +34,14 @@
 
 
 def run_filing(step, fault, rival):
-    """File a ticket under a fault, with a rival's filing at the same moment."""
+    """File a ticket under a fault, alone or together with a rival filer's ticket.
+
+    Returns
+    -------
+    tuple
+        The store, the results of the filings, the configuration after them, and the
+        result of filing the first ticket again.
+    """
     position, kind = int(step.split()[3]) - 1, fault.split()[-1]
     store = FakeStore()
     one, two = (Acceptance(store, VirtualClock(), seed) for seed in (1, 2))
@@ -48,13 +60,13 @@
 
 
 def check_filing(step, fault, rival):
-    """Check one cell: an answer of "accepted" or "not accepted" is true."""
+    """Check that answers of "accepted" and "not accepted" hold in one cell."""
     store, results, config, again = run_filing(step, fault, rival)
     accepted = [r for r in results if r.code is Code.TICKET_ACCEPTED]
     unknown = [r for r in results if r.code is Code.TICKET_UNKNOWN]
     assert len({r.number for r in accepted}) == len(accepted), results
-    least = 1 + len(accepted)
-    assert least <= config.number <= least + len(unknown), (results, config.number)
+    lowest = 1 + len(accepted)
+    assert lowest <= config.number <= lowest + len(unknown), (results, config.number)
     if results[0].code is Code.TICKET_ACCEPTED:
         assert again.number == results[0].number, (results, again)
     if again.code is Code.TICKET_ACCEPTED:
@@ -62,82 +74,84 @@
         assert final.number >= again.number
 
 
-def _sent(world):
-    world.accept("a", 2)
+def _event_sent(sim):
+    sim.accept("a", 2)
 
 
-def _loading(world):
-    _sent(world)
-    world.deliver(0)
+def _watcher_loads(sim):
+    _event_sent(sim)
+    sim.deliver(0)
 
 
-def _pushed(world):
-    _loading(world)
-    while not any(source != "store" for source, _, _ in world.network):
-        world.deliver(0)
-        world.tick()
+def _pushed_to_peers(sim):
+    _watcher_loads(sim)
+    while not any(source != "store" for source, _, _ in sim.network):
+        sim.deliver(0)
+        sim.tick()
 
 
-def _half(world):
-    _pushed(world)
-    world.deliver(len(world.network) - 1)
+def _partly_in_force(sim):
+    """Deliver one of the pushes, so that the ticket is in force on some processes."""
+    _pushed_to_peers(sim)
+    sim.deliver(len(sim.network) - 1)
 
 
-SPREAD_STEPS = {
-    "ticket: watch event sent": _sent,
-    "ticket: watcher loads it": _loading,
-    "ticket: pushed to peers": _pushed,
-    "ticket: in force on some processes": _half,
+# Each step brings the simulation to a point of the rollout of its second ticket.
+ROLLOUT_STEPS = {
+    "ticket: watch event sent": _event_sent,
+    "ticket: watcher loads it": _watcher_loads,
+    "ticket: pushed to peers": _pushed_to_peers,
+    "ticket: in force on some processes": _partly_in_force,
 }
 
 
-def _watcher_dies(world):
-    world.live.discard("dc1-p0")
-    world.watching.discard("dc1-p0")
-    world.members()
+def _watcher_dies(sim):
+    sim.live.discard("dc1-p0")
+    sim.watching.discard("dc1-p0")
+    sim.send_members()
 
 
-def _watcher_restarts(world):
-    world.restart("dc1-p0")
+def _watcher_restarts(sim):
+    sim.restart("dc1-p0")
 
 
-def _all_restart(world):
-    for name in sorted(world.live):
-        world.restart(name)
+def _all_restart(sim):
+    for name in sorted(sim.live):
+        sim.restart(name)
 
 
-def _store_down(world):
-    world.store_up = False
+def _store_down(sim):
+    sim.store_up = False
 
 
-def _all_restart_store_down(world):
-    _store_down(world)
-    for name in world.names["dc1"]:
-        world.restart(name)
+def _all_restart_store_down(sim):
+    _store_down(sim)
+    for name in sim.names["dc1"]:
+        sim.restart(name)
 
 
-def _cut_off(world):
-    world.cut |= {"dc1-p2", "dc2-p0"}
+def _cut_off(sim):
+    sim.cut |= {"dc1-p2", "dc2-p0"}
 
 
-def _lost(world):
-    world.network.clear()
+def _lost(sim):
+    sim.network.clear()
 
 
-def _repeated(world):
-    world.network += list(world.network)
+def _repeated(sim):
+    sim.network += list(sim.network)
 
 
-def _reversed(world):
-    world.network.reverse()
+def _reversed(sim):
+    sim.network.reverse()
 
 
-def _next_ticket(world):
-    world.accept("a", 3, event=False)
+def _next_ticket(sim):
+    sim.accept("a", 3, event=False)
 
 
-SPREAD_FAULTS = {
-    "none": lambda world: None,
+ROLLOUT_FAULTS = {
+    "none": lambda sim: None,
     "watcher dies": _watcher_dies,
     "watcher restarts": _watcher_restarts,
     "everything restarts": _all_restart,
@@ -151,23 +165,23 @@
 }
 
 
-def spread_cells():
-    """Return every (step, fault) of a ticket's way to the processes."""
-    return [(step, fault) for step in SPREAD_STEPS for fault in SPREAD_FAULTS]
+def rollout_cells():
+    """Return every (step, fault) of the rollout of a ticket."""
+    return [(step, fault) for step in ROLLOUT_STEPS for fault in ROLLOUT_FAULTS]
 
 
-def check_spread(step, fault):
-    """Check one cell: the last accepted ticket comes into force and none reverts."""
-    world = World()
-    world.accept("a", 1)
-    world.settle()
-    SPREAD_STEPS[step](world)
-    SPREAD_FAULTS[fault](world)
+def check_rollout(step, fault):
+    """Check that the last ticket comes into force and that no process goes back."""
+    sim = Simulation()
+    sim.accept("a", 1)
+    sim.settle()
+    ROLLOUT_STEPS[step](sim)
+    ROLLOUT_FAULTS[fault](sim)
     for _ in range(round(FAULT_S)):
-        world.settle(1.0)
-        world.check()
-    world.store_up, world.cut = True, set()
-    world.settle(IN_FORCE_S)
-    world.check()
-    last = world.states[-1].number
-    assert set(world.numbers().values()) == {last}, (last, world.numbers())
+        sim.settle(1.0)
+        sim.check()
+    sim.store_up, sim.cut = True, set()
+    sim.settle(IN_FORCE_S)
+    sim.check()
+    last = sim.states[-1].number
+    assert set(sim.numbers().values()) == {last}, (last, sim.numbers())
--- a/tests/test_fault_matrix.py
+++ b/tests/test_fault_matrix.py
@@ -13,9 +13,9 @@
 @pytest.mark.parametrize("idempotent", [False, True])
 @pytest.mark.parametrize("step", list(matrix.STEPS))
 def test_request_survives_each_fault(step, idempotent):
-    """Guards against a broken promise or a stuck request under one fault at a step."""
-    for found, fault in matrix.cells():
-        if found == step:
+    """Guards against a broken promise, or a request that never ends, after a fault."""
+    for cell_step, fault in matrix.cells():
+        if cell_step == step:
             outcome, after = matrix.run_cell(step, fault, idempotent)
             allowed = matrix.expected(step, fault, idempotent)
             assert outcome in allowed, (step, fault, outcome)
@@ -29,16 +29,16 @@
         tickets.check_filing(step, fault, rival)
 
 
-@pytest.mark.parametrize("step", list(tickets.SPREAD_STEPS))
-def test_ticket_spreads_in_spite_of_each_fault(step):
-    """Guards against a process that keeps or returns to an older ticket."""
-    for found, fault in tickets.spread_cells():
-        if found == step:
-            tickets.check_spread(step, fault)
+@pytest.mark.parametrize("step", list(tickets.ROLLOUT_STEPS))
+def test_rollout_survives_each_fault(step):
+    """Guards against a process that keeps an older ticket or goes back to one."""
+    for cell_step, fault in tickets.rollout_cells():
+        if cell_step == step:
+            tickets.check_rollout(step, fault)
 
 
 def test_page_is_up_to_date():
-    """Guards against a page that promises other outcomes than the tests check."""
+    """Guards against a page whose outcomes differ from those that the tests check."""
     output = io.StringIO()
     with contextlib.redirect_stdout(output):
         matrix.main()
