--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -128,8 +128,8 @@
         Stop before the delivery of a message that `until` accepts, and return whether
         there was one.
         """
-        end = self.world.real + seconds
-        while self.world.real < end:
+        end = self.world.true_time + seconds
+        while self.world.true_time < end:
             if self._deliver_all(until):
                 return True
             self._advance()
@@ -159,7 +159,7 @@
         world.true_time += STEP_S
         for worker in world.workers.values():
             if not worker.gone:
-                worker.expire(world.real)
+                worker.expire(world.true_time)
                 self._finish_attempts(worker)
         for node in self.live_nodes():
             if not node.paused:
@@ -172,7 +172,7 @@
         cut = frozenset((_endpoint(node.name), store_endpoint)) in self.world.cuts
         if not node.watching or store.down or cut:
             return
-        seen = store.seen(self.world.real)
+        seen = store.seen(self.world.true_time)
         if self._notified.get(node.name) != (seen.version, seen.live):
             self._notified[node.name] = seen.version, seen.live
             node.give(seen)
@@ -181,9 +181,9 @@
         if not self.finishing:
             return
         for attempt in worker.running():
-            ends_at = self._ends_at.setdefault(attempt, self.world.real + 0.5)
-            if self.world.real >= ends_at:
-                worker.finish(self.world.real, attempt, AttemptState.SUCCEEDED)
+            ends_at = self._ends_at.setdefault(attempt, self.world.true_time + 0.5)
+            if self.world.true_time >= ends_at:
+                worker.finish(self.world.true_time, attempt, AttemptState.SUCCEEDED)
 
     def retry_until_answered(self):
         """Let the callers retry until each has a final answer or `RECOVERY_S` ends."""
@@ -360,7 +360,7 @@
 
 def _vm_fails(scenario):
     worker = _busy_worker(scenario)
-    worker.fail(scenario.world.real)
+    worker.fail(scenario.world.true_time)
     scenario.world.unlist_worker(worker.name)
     scenario.world.add_worker(f"dc1-vm{scenario.world.next_id() + 100}", "dc1")
     return _no_heal
@@ -368,12 +368,12 @@
 
 def _vm_fails_list_lags(scenario):
     worker = _busy_worker(scenario)
-    worker.fail(scenario.world.real)
+    worker.fail(scenario.world.true_time)
     return lambda: scenario.world.unlist_worker(worker.name)
 
 
 def _vm_leaves(scenario):
-    scenario.world.leave_worker(_busy_worker(scenario).name)
+    scenario.world.mark_leaving(_busy_worker(scenario).name)
     return _no_heal
 
 
@@ -588,7 +588,7 @@
     # After a take-over, an owner that learns from the list that an unclaimed VM has
     # left answers "unknown" for ids issued until then plus the skew allowance. Wait for
     # the next reading of the list, so that the last request's id is newer.
-    scenario.run(SKEW_S + max(LIST_S) + 1.0)
+    scenario.run(SKEW_S + max(LIST_INTERVALS_S) + 1.0)
     scenario.submit("after")
     scenario.retry_until_answered()
     return scenario.outcomes.get("r1"), scenario.outcomes.get("after")
