--- a/src/poplaryard/fuzz.py
+++ b/src/poplaryard/fuzz.py
@@ -122,12 +122,12 @@
             if node.alive and not node.paused:
                 node.tick()
 
-    def deliver(self, again: bool = False) -> str | None:
-        """Deliver a random message; with `again`, leave a copy undelivered."""
+    def deliver(self, keep_copy: bool = False) -> str | None:
+        """Deliver a random message; with `keep_copy`, leave a copy undelivered."""
         pool = self.world.pool
         if not pool:
             return None
-        self.world.deliver(self.rng.choice(pool), again)
+        self.world.deliver(self.rng.choice(pool), keep_copy)
         return None
 
     def flush(self) -> str:
@@ -165,7 +165,7 @@
 
         A copy of a store reply has no effect, since its call has been answered.
         """
-        return self.deliver(again=True)
+        return self.deliver(keep_copy=True)
 
     def drop(self) -> str | None:
         """Lose a message."""
--- a/src/poplaryard/fuzz_faults.py
+++ b/src/poplaryard/fuzz_faults.py
@@ -80,7 +80,7 @@
         node = self._random_node()
         if node is None or node.paused:
             return None
-        node.give(Leave())
+        node.handle_ownership(Leave())
         base, _, number = node.name.partition("#")
         self.world.add_node(f"{base}x#{number}", node.dc)
         return node.name
--- a/src/poplaryard/fuzz_node.py
+++ b/src/poplaryard/fuzz_node.py
@@ -154,7 +154,7 @@
         self._list_s = rng.choice(LIST_INTERVALS_S)
         self._list_at = 0.0
         world.patch_ownership(self)
-        self.give(ShardsConfigured(world.shards(dc), 1))
+        self.handle_ownership(ShardsConfigured(world.shards(dc), 1))
 
     def now(self) -> float:
         """Return the reading of the process's monotonic clock."""
@@ -170,19 +170,19 @@
         for call_id, (sent_at, message) in list(self._store_calls.items()):
             if now > sent_at + STORE_TIMEOUT_S:
                 del self._store_calls[call_id]
-                self.give(time_out(message))
+                self.handle_ownership(time_out(message))
         for key, sent_at in list(self._heartbeats.items()):
             if now > sent_at + PEER_TIMEOUT_S:
                 del self._heartbeats[key]
-                self.give(PeerMissed(key[0]))
-        self.give(Tick())
+                self.handle_ownership(PeerMissed(key[0]))
+        self.handle_ownership(Tick())
         leased = self.ownership.state == "held" or self.world.disables("claims_new")
         for name, shard in list(self.shards.items()):
             shard.takeover.claims_new = leased
-            self.give_shard(name, Tick())
+            self.handle_shard(name, Tick())
             if shard.takeover.state == "complete" and not shard.settled:
                 shard.settled = True
-                self.give(ShardSettled(name, shard.epoch))
+                self.handle_ownership(ShardSettled(name, shard.epoch))
         if now >= self._list_at and self.world.list_up:
             self._read_list()
         if now >= self._poll_at:
@@ -191,7 +191,7 @@
 
     # Ownership
 
-    def give(self, message: t.Any) -> None:
+    def handle_ownership(self, message: t.Any) -> None:
         """Pass a message to the ownership object and execute what it returns."""
         for out in self.ownership.handle(self.now(), message):
             self._execute(out)
@@ -230,7 +230,7 @@
         """Process a reply of the store; None if it refused the connection."""
         found = self._store_calls.pop(call_id, None)
         if found is not None:
-            self.give(failure(found[1]) if reply is None else reply)
+            self.handle_ownership(failure(found[1]) if reply is None else reply)
 
     def _start_takeover(self, out: ShardTaken) -> None:
         listed = self._listed.values()
@@ -258,11 +258,11 @@
         self.world.patch_ledger(shard.ledger)
         self.shards[out.shard] = _Shard(shard, takeover, out.epoch)
         for vm, leaving in vms:
-            self.give_shard(
+            self.handle_shard(
                 out.shard, VmUpdate(vm, leaving or vm.name in self._leaving)
             )
         self._list_at = self.now()
-        self.give_shard(out.shard, Tick())
+        self.handle_shard(out.shard, Tick())
 
     def _read_list(self) -> None:
         """Read the platform's VM list and pass its entries and removals on."""
@@ -274,7 +274,7 @@
             self._process_vm_message(VmUpdate(spec, leaving))
         self._listed = listed
         for name in list(self.shards):
-            self.give_shard(name, VmListRead())
+            self.handle_shard(name, VmListRead())
 
     def _update_authority(self, out: Authority) -> None:
         shard = self.shards.get(out.shard)
@@ -283,11 +283,11 @@
         shard.authority = out
         if out.exclusive:
             shard.exclusive_until = out.until
-        self.give_shard(out.shard, out)
+        self.handle_shard(out.shard, out)
 
     # Shards
 
-    def give_shard(self, name: str, message: t.Any) -> None:
+    def handle_shard(self, name: str, message: t.Any) -> None:
         """Pass a message to the owner of a shard and execute what it returns."""
         shard = self.shards.get(name)
         if shard is None:
@@ -305,7 +305,7 @@
         elif isinstance(out, Answer):
             self.answer(out)
         elif isinstance(out, EpochRefused):
-            self.give(out)
+            self.handle_ownership(out)
 
     def answer(self, out: Answer) -> None:
         """Send an answer to the entry process named in its token."""
@@ -335,7 +335,7 @@
             if shard.polls_missed[vm] > POLLS_MISSED:
                 shard.claimed.discard(vm)
                 shard.polls_missed[vm] = 0
-                self.give_shard(shard.scheduler.shard, WorkerUnreachable(vm))
+                self.handle_shard(shard.scheduler.shard, WorkerUnreachable(vm))
 
     # Incoming messages
 
@@ -350,7 +350,7 @@
         elif isinstance(message, Ticket):
             self._apply_ticket(message)
         elif isinstance(message, ProvenDead):
-            self.give(message)
+            self.handle_ownership(message)
         else:
             self._process_worker_message(message)
 
@@ -359,12 +359,12 @@
     ) -> None:
         if isinstance(message, HeartbeatReply):
             self._heartbeats.pop((message.sender, message.sent_at), None)
-        self.give(message)
+        self.handle_ownership(message)
 
     def _process_entry_message(self, message: Submit | Cancel) -> None:
         if isinstance(message, Cancel):
             for name in list(self.shards):
-                self.give_shard(name, message)
+                self.handle_shard(name, message)
             return
         if self.wall() - message.wall > COPY_S and not self.world.disables("copy_age"):
             return
@@ -377,7 +377,7 @@
         work = replace(message.work, deadline=self.now() + message.work.deadline)
         message = replace(message, work=work)
         self.world.oracle.reached_owner(self.name, message.reply_to, request)
-        self.give_shard(shard, message)
+        self.handle_shard(shard, message)
 
     def _process_vm_message(self, message: VmUpdate | VmGone) -> None:
         vm = message.vm if isinstance(message, VmGone) else message.vm.name
@@ -393,7 +393,7 @@
             self._leaving.add(vm)
             self.world.oracle.told_leaving(self.name, vm)
             message = VmUpdate(message.vm, leaving=True)
-        self.give_shard(shard, message)
+        self.handle_shard(shard, message)
 
     def _apply_ticket(self, message: Ticket) -> None:
         if message.number > self.ticket or self.world.disables("ticket_order"):
@@ -409,10 +409,10 @@
             return
         if isinstance(message, ClaimReply | PollReply):
             if message.epoch > shard.epoch:
-                self.give(EpochRefused(name, shard.epoch))
+                self.handle_ownership(EpochRefused(name, shard.epoch))
                 return
             self._record_reply(shard, message)
-        self.give_shard(name, message)
+        self.handle_shard(name, message)
 
     def _record_reply(self, shard: _Shard, message: ClaimReply | PollReply) -> None:
         if message.epoch != shard.epoch:
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -259,14 +259,14 @@
         item = _Item(node.name, f"store/{node.dc}", message, call_id, node.now())
         self.pool.append(item)
 
-    def deliver(self, item: "_Item", again: bool = False) -> None:
-        """Deliver a message, or lose it at a cut; with `again`, keep it in the pool."""
+    def deliver(self, item: "_Item", keep_copy: bool = False) -> None:
+        """Deliver a message, or lose it at a cut; `keep_copy` leaves it in the pool."""
         node = self.nodes.get(item.to)
         if node is not None and node.paused:
             return
-        if not again:
+        if not keep_copy:
             self.pool.remove(item)
-        self.note("repeat" if again else "deliver", item)
+        self.note("repeat" if keep_copy else "deliver", item)
         if frozenset((_endpoint(item.sender), _endpoint(item.to))) in self.cuts:
             return
         if item.to.startswith("store/"):
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -175,7 +175,7 @@
         seen = store.seen(self.world.true_time)
         if self._notified.get(node.name) != (seen.version, seen.live):
             self._notified[node.name] = seen.version, seen.live
-            node.give(seen)
+            node.handle_ownership(seen)
 
     def _finish_attempts(self, worker):
         if not self.finishing:
@@ -277,7 +277,7 @@
     def reach(scenario):
         scenario.submit("r1")
         scenario.run(0.3)
-        scenario.owner().give(Leave())
+        scenario.owner().handle_ownership(Leave())
         return scenario.run(STEP_LIMIT_S, until)
 
     return reach
@@ -478,7 +478,7 @@
     """Deliver every message in flight, other than store replies, twice."""
     for item in list(scenario.world.pool):
         if not item.sender.startswith("store/") and item in scenario.world.pool:
-            scenario.world.deliver(item, again=True)
+            scenario.world.deliver(item, keep_copy=True)
     return _no_heal
 
 
@@ -490,7 +490,9 @@
     scenario.run(CALL_TIMEOUT_S)
     calls = [(i.sender, i.to) for i in starts] + [(i.to, i.sender) for i in replies]
     for process, vm in calls:
-        scenario.world.nodes[process].give_shard(scenario.shard, WorkerUnreachable(vm))
+        scenario.world.nodes[process].handle_shard(
+            scenario.shard, WorkerUnreachable(vm)
+        )
     return _no_heal
 
 
