--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak of real entry processes under faults injected from outside."""
+"""Randomized soak test of real entry processes with faults injected from outside."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Command that plays soaks: `python -m tests.soak --seed 1 --count 10`."""
+"""Command that runs soaks: `python -m tests.soak --seed 1 --count 10`."""
 
 import asyncio
 import pathlib
@@ -11,13 +11,13 @@
 from tests.soak.faults import Faults
 from tests.soak.system import System
 
-# Time that jobs have to end after the last fault: the longest wait for a lease of a
-# silent worker, and its work, in seconds.
+# Time that jobs have to end after the last fault, in seconds: the longest wait for the
+# lease of a silent worker, and the run times of the tasks to be repeated.
 FINISH_S = 30.0
 
 
 async def soak(seed, seconds, directory, entries=3, workers=6, most=3):
-    """Play one seed; return the oracle and the faults injected."""
+    """Run the soak of one seed; return its oracle and its faults."""
     async with System(seed, directory, entries, workers) as system:
         callers = Callers(system, seed)
         faults = Faults(system, most)
@@ -36,10 +36,10 @@
 @click.option("--seconds", default=20.0, help="Time with faults, for each seed.")
 @click.option("--entries", default=3, help="Entry processes.")
 @click.option("--workers", default=6, help="Workers.")
-@click.option("--most", default=3, help="Faults at the same time.")
+@click.option("--most", default=3, help="Maximum number of faults at the same time.")
 @click.option("--keep", type=pathlib.Path, help="Folder for the logs.")
 def main(seed, count, seconds, entries, workers, most, keep):
-    """Play seeds one after the other; exit with 1 if a promise was broken."""
+    """Run seeds one after the other; exit with 1 if a promise was broken."""
     failed = []
     for number in range(seed, seed + count):
         with tempfile.TemporaryDirectory() as temporary:
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they hand jobs in, cancel some, and ask for states."""
+"""Callers of the soak: they submit jobs, cancel some and query their states."""
 
 import asyncio
 import itertools
@@ -12,13 +12,16 @@
 
 HOST = {"host": "desk.example", "x-deadline-ms": "3000"}
 TIMEOUT_S = 3.0
+# Tries of a submission or cancellation.
 TRIES = 8
+# Mean time between two jobs, in seconds.
 GAP_S = 0.12
+# Time between two queries for the state of a job, in seconds.
 POLL_S = 0.4
 
 
 class Callers:
-    """Send jobs to all entry processes over connections that stay open."""
+    """Callers that send jobs to all entry processes over persistent connections."""
 
     def __init__(self, system, seed):
         self._system = system
@@ -28,25 +31,26 @@
         self._ids = itertools.count(1)
 
     async def send(self, seconds):
-        """Hand jobs in for some time."""
+        """Start callers with a job each for some time."""
         until = self._system.clock() + seconds
         while self._system.clock() < until:
-            task = asyncio.create_task(self._follow(self._job()))
+            task = asyncio.create_task(self._run_job(self._random_job()))
             self._tasks.add(task)
             await asyncio.sleep(self._rng.expovariate(1 / GAP_S))
 
     async def finish(self, seconds):
-        """Let accepted jobs end."""
+        """Wait for the callers, at most for `seconds`; raise the error of one."""
         _, late = await asyncio.wait(self._tasks, timeout=seconds)
         for task in late:
             task.cancel()
         results = await asyncio.gather(*self._tasks, return_exceptions=True)
-        for found in results:
-            if isinstance(found, Exception):
-                raise found
+        for result in results:
+            if isinstance(result, Exception):
+                raise result
         await self._client.close()
 
-    def _job(self):
+    def _random_job(self):
+        """Return a random job that is known to the oracle."""
         rng = self._rng
         kind = rng.random()
         steps = [
@@ -68,31 +72,35 @@
         self._system.oracle.jobs[job_id] = job
         return job
 
-    async def _follow(self, job):
+    async def _run_job(self, job):
+        """Submit a job, cancel it if chosen, and query its state until it ends."""
         prefix = self._rng.choice(["/checks/", "/vision/"])
-        cancels = job.lasting or self._rng.random() < 0.1
-        leaves_after_s = self._rng.uniform(0.0, 3.0)
+        cancels = job.has_daemon or self._rng.random() < 0.1
+        cancel_after_s = self._rng.uniform(0.0, 3.0)
         path = prefix + job.job_id
         if not await self._submit(job, path):
             return
         if cancels:
-            await asyncio.sleep(leaves_after_s)
+            await asyncio.sleep(cancel_after_s)
             await self._cancel(job, path)
         while job.state not in ("done", "cancelled", "failed"):
             await asyncio.sleep(POLL_S)
-            found = await self._call("GET", path, None)
-            if found is not None and found[0] in (200, 410):
-                self._system.oracle.shown(job, found[0], found[1].get("state", ""))
+            reply = await self._call("GET", path, None)
+            if reply is not None and reply[0] in (200, 410):
+                self._system.oracle.state_answered(
+                    job, reply[0], reply[1].get("state", "")
+                )
 
     async def _submit(self, job, path):
+        """Submit a job until it is accepted; return whether it was."""
         body = {"spec": job.payload, "steps": job.steps}
         for _ in range(TRIES):
             job.attempts += 1
-            found = await self._call("POST", path, body)
-            if found is not None and found[0] == 200:
+            reply = await self._call("POST", path, body)
+            if reply is not None and reply[0] == 200:
                 job.accepted_at = self._system.clock()
                 return True
-            if found is not None and found[0] in (429, 503):
+            if reply is not None and reply[0] in (429, 503):
                 job.refused += 1
                 await asyncio.sleep(1.0)
             else:
@@ -104,10 +112,10 @@
 
     async def _cancel(self, job, path):
         for _ in range(TRIES):
-            found = await self._call("DELETE", path, None)
-            if found is not None and found[0] in (200, 410):
-                if found[0] == 410:
-                    self._system.oracle.shown(job, 410, "")
+            reply = await self._call("DELETE", path, None)
+            if reply is not None and reply[0] in (200, 410):
+                if reply[0] == 410:
+                    self._system.oracle.state_answered(job, 410, "")
                 job.cancelled_at = self._system.clock()
                 return
             await asyncio.sleep(self._rng.uniform(0.0, 0.3))
@@ -125,8 +133,8 @@
         except PoplaryardError as exc:
             broken_off = self._system.clock() - began < TIMEOUT_S - 0.1
             if exc.code is Code.PEER_TIMEOUT and broken_off:
-                self._system.broken_off(entry, began, f"{method} {path}")
+                self._system.check_broken_off(entry, began, f"{method} {path}")
             return None
         except ValueError as exc:
-            self._system.oracle.violate("ANSWER", f"{method} {path}: {exc}")
+            self._system.oracle.report_violation("ANSWER", f"{method} {path}: {exc}")
             return None
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -3,26 +3,31 @@
 import asyncio
 import signal
 
-# Time after which a process that was killed is started again, in seconds.
+# Time between the kill of a process and its restart, in seconds.
 RESTART_S = 0.4
 STORE_MODES = ("busy", "silent", "slow", "lost")
 LINK_MODES = ("delay", "reset", "cut", "one_way")
 
 
 class Faults:
-    """Series of faults that overlap, drawn from the system's source of chance.
+    """Overlapping faults drawn from the random source of the system.
 
     Parameters
     ----------
     system : System
     most : int
-        Faults in progress at the same time.
+        Maximum number of faults at the same time.
+
+    Attributes
+    ----------
+    injected : list of str
+        A line with time and description for each fault.
     """
 
     def __init__(self, system, most=3):
         self._system = system
         self._most = most
-        self._busy = set()
+        self._reserved = set()
         self.injected = []
         self._kinds = (
             (self._kill, 3),
@@ -37,7 +42,7 @@
         )
 
     async def run(self, seconds):
-        """Inject faults for some time, and end all of them."""
+        """Inject faults for some time, then wait until all of them have ended."""
         rng, clock = self._system.rng, self._system.clock
         until = clock() + seconds
         tasks = set()
@@ -50,97 +55,99 @@
                 tasks.add(asyncio.create_task(kind(rng.uniform(0.3, 4.5))))
         await asyncio.gather(*tasks)
 
-    def _take(self, things):
-        """Return a thing that no other fault is using, or None."""
-        free = [thing for thing in things if thing not in self._busy]
+    def _reserve(self, candidates):
+        """Reserve and return a candidate without a fault, or None if all have one."""
+        free = [item for item in candidates if item not in self._reserved]
         if not free:
             return None
         chosen = self._system.rng.choice(free)
-        self._busy.add(chosen)
+        self._reserved.add(chosen)
         return chosen
 
-    def _note(self, what, unplanned=True):
+    def _begin(self, what, unplanned=True):
+        """Record the start of a fault."""
         now = self._system.clock()
         self.injected.append(f"{now:8.3f} {what}")
         if unplanned:
             self._system.unplanned += 1
 
-    def _over(self, thing=None, unplanned=True):
-        self._busy.discard(thing)
+    def _end(self, victim=None, unplanned=True):
+        """Record the end of a fault and free its victim."""
+        self._reserved.discard(victim)
         if unplanned:
             self._system.unplanned -= 1
             self._system.unplanned_until = self._system.clock()
 
     async def _kill(self, _):
-        entry = self._take(self._system.entries)
+        entry = self._reserve(self._system.entries)
         if entry is None:
             return
-        self._note(f"kill {entry.name}")
+        self._begin(f"kill {entry.name}")
         await entry.end(signal.SIGKILL)
         await asyncio.sleep(RESTART_S)
         entry.start()
-        self._over(entry)
+        self._end(entry)
 
     async def _term(self, _):
-        entry = self._take(self._system.entries)
+        entry = self._reserve(self._system.entries)
         if entry is None:
             return
-        self._note(f"term {entry.name}", unplanned=False)
+        self._begin(f"term {entry.name}", unplanned=False)
         code = await entry.end(signal.SIGTERM)
-        # One that was stopped before it took signals ends by the signal itself.
+        # A process that has not installed its handler yet is ended by the signal.
         if code not in (0, -signal.SIGTERM):
-            self._system.oracle.violate("EXIT", f"{entry.name}: code {code}")
+            self._system.oracle.report_violation("EXIT", f"{entry.name}: code {code}")
         entry.start()
-        self._over(entry, unplanned=False)
+        self._end(entry, unplanned=False)
 
     async def _pause(self, seconds):
-        entry = self._take(self._system.entries)
+        entry = self._reserve(self._system.entries)
         if entry is None:
             return
-        self._note(f"pause {entry.name} {seconds:.1f} s")
+        self._begin(f"pause {entry.name} {seconds:.1f} s")
         entry.signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         entry.signal(signal.SIGCONT)
-        self._over(entry)
+        self._end(entry)
 
     async def _entry_link(self, seconds):
-        entry = self._take(self._system.entries)
+        entry = self._reserve(self._system.entries)
         if entry is None:
             return
         mode = self._system.rng.choice(LINK_MODES)
-        self._note(f"{mode} {entry.name} to store {seconds:.1f} s")
+        self._begin(f"{mode} {entry.name} to store {seconds:.1f} s")
         entry.proxy.set(mode)
         await asyncio.sleep(seconds)
         entry.proxy.set("ok")
-        self._over(entry)
+        self._end(entry)
 
     async def _store_mode(self, seconds):
-        if self._take(["store"]) is None:
+        if self._reserve(["store"]) is None:
             return
         mode = self._system.rng.choice(STORE_MODES)
-        self._note(f"store {mode} {seconds:.1f} s")
+        self._begin(f"store {mode} {seconds:.1f} s")
         self._system.store.mode = mode
         await asyncio.sleep(seconds)
         self._system.store.mode = "ok"
-        self._over("store")
+        self._end("store")
 
     async def _worker_link(self, seconds):
-        worker = self._take(self._system.workers)
+        worker = self._reserve(self._system.workers)
         if worker is None:
             return
         mode = self._system.rng.choice(LINK_MODES)
-        self._note(f"{mode} {worker.name} {seconds:.1f} s")
+        self._begin(f"{mode} {worker.name} {seconds:.1f} s")
         proxy = self._system.worker_proxies[worker.name]
         proxy.set(mode)
         await asyncio.sleep(seconds)
         proxy.set("ok")
-        self._over(worker)
+        self._end(worker)
 
     async def _worker_crash(self, seconds):
-        worker = self._take(self._system.workers)
+        worker = self._reserve(self._system.workers)
         if worker is None:
             return
-        self._note(f"crash {worker.name} {seconds:.1f} s")
+        self._begin(f"crash {worker.name} {seconds:.1f} s")
         worker.stop()
         self._system.worker_proxies[worker.name].reset()
         if seconds > 2.0:
@@ -148,18 +155,18 @@
         await asyncio.sleep(seconds)
         worker.restart()
         await self._system.register(worker)
-        self._over(worker)
+        self._end(worker)
 
     async def _late_orders(self, seconds):
-        worker = self._take(self._system.workers)
+        worker = self._reserve(self._system.workers)
         if worker is None:
             return
-        self._note(f"late orders {worker.name} {seconds:.1f} s")
+        self._begin(f"late orders {worker.name} {seconds:.1f} s")
         worker.late = 0.3
         await asyncio.sleep(seconds)
         worker.late = 0.0
-        self._over(worker)
+        self._end(worker)
 
     async def _configure(self, _):
-        self._note("configuration", unplanned=False)
+        self._begin("configuration", unplanned=False)
         await self._system.configure()
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,24 +1,34 @@
-"""What the soak checks: promises seen from workers and callers."""
+"""Checks of the soak: promises that workers and callers can observe."""
 
 import typing as t
 from dataclasses import dataclass, field
 
-# Bounds of the users' pages, in seconds: a cancelled job starts nothing after this, and
-# an accepted job is known after this.
+# Time after which a cancelled job must start no more runs, by the requirements, in
+# seconds.
 CANCEL_S = 3.0
+# Time after which every process must know an accepted job, by the requirements, in
+# seconds.
 VISIBLE_S = 3.0
 
 
 @dataclass
 class SoakJob:
-    """Job as its caller knows it.
+    """Job as its caller knows it, and which of its tasks are done.
 
     Attributes
     ----------
-    refused, in_doubt : int
-        Attempts answered "never runs", and attempts without a usable answer.
+    accepted_at, cancelled_at : float
+        Time of the answer, or 0.0 without one.
+    attempts : int
+        Submissions of the job.
+    refused : int
+        Submissions whose answer says that they never run.
+    in_doubt : int
+        Submissions without a usable answer.
+    state : str
+        State in the last answer.
     done : set of str
-        Tasks of which a run has ended done.
+        Tasks with a run that ended as "done".
     """
 
     job_id: str
@@ -33,7 +43,8 @@
     done: set[str] = field(default_factory=set)
 
     @property
-    def lasting(self):
+    def has_daemon(self):
+        """Whether the job has a daemon and runs until it is cancelled."""
         return any(step.get("daemon") for step in self.steps)
 
     def step_of(self, task):
@@ -45,7 +56,16 @@
 
 
 class Oracle:
-    """Takes in what workers and callers see, and lists broken promises."""
+    """Check of what workers and callers observe; lists the broken promises.
+
+    Attributes
+    ----------
+    jobs : dict of str to SoakJob
+    broken : list of str
+        A line with time, rule and detail for each broken promise.
+    starts : int
+        Runs that were started.
+    """
 
     def __init__(self, clock):
         self._clock = clock
@@ -54,74 +74,82 @@
         self.starts = 0
         self._running = {}
         self._starts_at = {}
-        self._noted = set()
+        self._acknowledged = set()
 
-    def violate(self, rule, detail):
+    def report_violation(self, rule, detail):
         self.broken.append(f"{self._clock():8.3f} {rule}: {detail}")
 
     def started(self, worker, task, run, payload):
-        """Check a start on a worker."""
+        """Check and record the start of a run on a worker."""
         self.starts += 1
         now = self._clock()
         what = f"{task} run {run} on {worker.name}"
         job = self.jobs.get(task.partition(".")[0])
         if job is None or job.payload != payload:
-            self.violate("UNASKED", f"{what}: no caller handed this in")
+            self.report_violation("UNASKED", f"{what}: no caller submitted this")
             return
         step = job.step_of(task)
         if job.attempts and job.refused == job.attempts:
-            self.violate("REFUSED", f"{what}: every attempt was refused")
+            self.report_violation("REFUSED", f"{what}: every submission was refused")
         if job.cancelled_at and now > job.cancelled_at + CANCEL_S:
-            self.violate("UNASKED", f"{what}: cancelled {now - job.cancelled_at:.1f} s")
+            self.report_violation(
+                "UNASKED", f"{what}: cancelled {now - job.cancelled_at:.1f} s ago"
+            )
         if not all(job.tasks(number) <= job.done for number in step.get("after", ())):
-            self.violate("ORDER", f"{what}: an earlier step is not done")
+            self.report_violation("ORDER", f"{what}: an earlier step is not done")
         if not step.get("speculative"):
             alive = [at for at in self._running.get(task, ()) if at[0].up]
             if alive:
                 runs = [(other.name, number) for other, number in alive]
-                self.violate("TWICE", f"{what}: also {runs}")
-            if task in self._noted:
-                self.violate("TWICE", f"{what}: its end was noted")
+                self.report_violation("TWICE", f"{what}: also running as {runs}")
+            if task in self._acknowledged:
+                self.report_violation("TWICE", f"{what}: its end was acknowledged")
         if worker.used + step["cpu"] > worker.cpu:
-            self.violate("LIMIT", f"{what}: {worker.used} of {worker.cpu} are used")
+            self.report_violation(
+                "LIMIT", f"{what}: {worker.used} of {worker.cpu} CPU are used"
+            )
         self._running.setdefault(task, set()).add((worker, run))
         self._starts_at.setdefault(task, []).append(now)
 
-    def ended(self, worker, task, run, how):
-        """Take in that a run has ended."""
+    def ended(self, worker, task, run, result):
+        """Record the end of a run."""
         self._running.get(task, set()).discard((worker, run))
         job = self.jobs.get(task.partition(".")[0])
-        if how == "done" and job is not None:
+        if result == "done" and job is not None:
             job.done.add(task)
 
-    def noted(self, task, how, ended_at):
-        """Check an end that an owner has acknowledged."""
+    def acknowledged(self, task, result, ended_at):
+        """Check and record that an owner has acknowledged the end of a run."""
         job = self.jobs.get(task.partition(".")[0])
-        if how != "done" or job is None:
+        if result != "done" or job is None:
             return
         later = [at for at in self._starts_at.get(task, ()) if at > ended_at]
         if later and not job.step_of(task).get("speculative"):
-            self.violate("TWICE", f"{task}: started after an end that was noted")
-        self._noted.add(task)
+            self.report_violation(
+                "TWICE", f"{task}: started after an end that was acknowledged"
+            )
+        self._acknowledged.add(task)
 
-    def shown(self, job, status, state):
-        """Check the state that a caller is shown."""
+    def state_answered(self, job, status, state):
+        """Check and record the state in an answer to a caller."""
         now = self._clock()
         if status == 410 and now > job.accepted_at + VISIBLE_S:
-            self.violate("LOST", f"{job.job_id}: not known, though it was accepted")
+            self.report_violation("LOST", f"{job.job_id}: accepted, but not known")
         if state == "done":
             wanted = set().union(*map(job.tasks, range(len(job.steps))))
             if not wanted <= job.done:
-                self.violate("MIXED", f"{job.job_id}: shown as done before it is")
+                self.report_violation(
+                    "MIXED", f"{job.job_id}: reported as done before it is"
+                )
         if state == "cancelled" and not job.cancelled_at and not job.in_doubt:
-            self.violate("LOST", f"{job.job_id}: cancelled by nobody")
+            self.report_violation("LOST", f"{job.job_id}: cancelled without a request")
         job.state = state or job.state
 
     def finish(self):
-        """Check that every accepted job has ended."""
+        """Check that every accepted job without a daemon has ended."""
         for job in self.jobs.values():
             final = job.state in ("done", "cancelled")
-            if job.accepted_at and not final and not job.lasting:
-                self.violate(
+            if job.accepted_at and not final and not job.has_daemon:
+                self.report_violation(
                     "LOST", f"{job.job_id}: {job.state or 'no state'} at the end"
                 )
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,14 +1,19 @@
-"""Loopback proxy that delays, resets, cuts and silences connections."""
+"""Loopback proxy that delays, resets and blocks connections."""
 
 import asyncio
 import contextlib
 
 
 class Proxy:
-    """Forwards to one address.
+    """Proxy of one address.
 
-    ``mode`` is "ok", "delay", "reset", "cut" (nothing passes) or "one_way" (requests
-    pass, answers do not). Connections live on through a cut, as over a real network.
+    Connections stay open during a cut, as over a real network.
+
+    Attributes
+    ----------
+    mode : str
+        "ok", "delay", "reset", "cut" (nothing passes) or "one_way" (requests pass,
+        answers do not).
     """
 
     DELAY_S = 0.15
@@ -33,15 +38,16 @@
             task.cancel()
 
     def set(self, mode):
+        """Change the mode; "reset" also resets the open connections."""
         self.mode = mode
-        for passes, blocked in (
+        for gate, blocked in (
             (self._requests_pass, mode == "cut"),
             (self._answers_pass, mode in ("cut", "one_way")),
         ):
             if blocked:
-                passes.clear()
+                gate.clear()
             else:
-                passes.set()
+                gate.set()
         if mode == "reset":
             self.reset()
 
@@ -55,20 +61,27 @@
         self._tasks.add(task)
         self._writers.add(writer)
         host, _, port = self._target.rpartition(":")
-        back = None
+        target_writer = None
         with contextlib.suppress(OSError, asyncio.CancelledError):
             if self.mode != "reset":
-                answers, back = await asyncio.open_connection(host, int(port))
+                target_reader, target_writer = await asyncio.open_connection(
+                    host, int(port)
+                )
                 await asyncio.gather(
-                    self._pass(reader, back, False), self._pass(answers, writer, True)
+                    self._forward(reader, target_writer, False),
+                    self._forward(target_reader, writer, True),
                 )
-        for end in (writer, back):
+        for end in (writer, target_writer):
             if end is not None:
                 end.transport.abort()
         self._writers.discard(writer)
         self._tasks.discard(task)
 
-    async def _pass(self, reader, writer, answer):
+    async def _forward(self, reader, writer, answer):
+        """Forward data until the connection ends, then raise ConnectionResetError.
+
+        The error makes `_serve` close both connections.
+        """
         while data := await reader.read(65536):
             if self.mode == "delay":
                 await asyncio.sleep(self.DELAY_S)
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -1,4 +1,4 @@
-"""Platform, workers and real entry processes of one soak."""
+"""Platform stand-in, workers and real entry processes of one soak."""
 
 import asyncio
 import contextlib
@@ -18,19 +18,21 @@
 from tests.soak.proxy import Proxy
 from tests.soak.workers import SILENT_S, make_workers
 
+# Time that an entry process has to shut down, in seconds.
 GRACE_S = 6.0
-# Time after an unplanned fault for which the pages judge no answer, in seconds.
+# Time after an unplanned fault for which the requirements let answers break off, in
+# seconds.
 STABLE_S = 3.0
-# Ports of a soak; the kernel gives those from 32768 on to clients.
+# Range of the soak's ports; from 32768 on the kernel assigns them to connections.
 FIRST_PORT, LAST_PORT = 20_000, 32_000
 _SOURCE = pathlib.Path(__file__).parents[2] / "src"
 
 
-def own_ports(count):
-    """Return free ports below those that the kernel gives to clients.
+def free_ports(count):
+    """Return free ports below those that the kernel assigns to connections.
 
-    Each soak begins at another one: soaks run side by side, and a port that was free a
-    moment ago may be taken by a connection or by another soak.
+    The process id decides where the search begins, since soaks run in parallel and
+    could take a port between the search and its use.
     """
     number = FIRST_PORT + os.getpid() * 97 % (LAST_PORT - FIRST_PORT)
     ports = []
@@ -43,9 +45,15 @@
 
 
 class SoakStore(PlatformStandIn):
-    """Store and advice whose ``mode`` is "ok", "busy", "silent", "slow" or "lost".
+    """Store and advice service with faults.
 
     Leases end on time, also while the store does not answer.
+
+    Attributes
+    ----------
+    mode : str
+        "ok", "busy" (answers 503), "silent" (no answers), "slow", or "lost" (some calls
+        take effect, at once or later, but get no answer).
     """
 
     def __init__(self, clock, rng, port):
@@ -54,16 +62,16 @@
         self.mode = "ok"
         self._clock = clock
         self._rng = rng
-        self._ends_at = {}
-        self._ttl = {}
+        self._expires_at = {}
+        self._ttl_s = {}
 
     async def expire(self):
         """End leases that were not renewed, until cancelled."""
         while True:
             await asyncio.sleep(0.05)
-            for lease, ends_at in list(self._ends_at.items()):
-                if self._clock() > ends_at:
-                    del self._ends_at[lease]
+            for lease, expires_at in list(self._expires_at.items()):
+                if self._clock() > expires_at:
+                    del self._expires_at[lease]
                     await self.storage.revoke(lease)
 
     async def _store_app(self, scope, receive, send):
@@ -82,31 +90,32 @@
             await respond(send, 200, {"good": good, "valid_ms": 2000})
             return
         if mode == "lost" and self._rng.random() < 0.4:
-            # Done, or done a little later, and never answered.
+            # The call takes effect now or later; its answer is lost.
             await asyncio.sleep(self._rng.choice([0.0, 1.5]))
-            await super()._store_app(scope, receive, _nowhere)
+            await super()._store_app(scope, receive, _discard)
             await asyncio.sleep(SILENT_S)
         await super()._store_app(scope, receive, send)
 
     async def _call(self, name, query, body):
         status, answer = await super()._call(name, query, body)
         if name == "kv-lease":
-            self._ttl[answer["lease"]] = body["ttl_ms"] / 1000
-            self._keep(answer["lease"])
+            self._ttl_s[answer["lease"]] = body["ttl_ms"] / 1000
+            self._extend_lease(answer["lease"])
         elif name.startswith("kv-keep/") and status == 200:
-            self._keep(int(name.rpartition("/")[2]))
+            self._extend_lease(int(name.rpartition("/")[2]))
         return status, answer
 
-    def _keep(self, lease):
-        self._ends_at[lease] = self._clock() + self._ttl[lease]
+    def _extend_lease(self, lease):
+        self._expires_at[lease] = self._clock() + self._ttl_s[lease]
 
 
-async def _nowhere(message):
+async def _discard(message):
+    """Discard an answer."""
     return
 
 
 class Entry:
-    """Real process; its calls to the store pass a proxy of its own."""
+    """Real entry process whose calls to the store go through a proxy of its own."""
 
     def __init__(self, name, directory, proxy, ports):
         self.name, self.proxy = name, proxy
@@ -145,14 +154,14 @@
     def running(self):
         return self.process is not None and self.process.poll() is None
 
-    def signal(self, number):
+    def signal(self, signum):
         if self.running:
-            self.process.send_signal(number)
+            self.process.send_signal(signum)
 
-    async def end(self, number):
+    async def end(self, signum):
         """End the process by a signal and return its exit code."""
         self.signal(signal.SIGCONT)
-        self.signal(number)
+        self.signal(signum)
         try:
             return await asyncio.to_thread(self.process.wait, GRACE_S + 1.0)
         except subprocess.TimeoutExpired:
@@ -161,7 +170,15 @@
 
 
 class System:
-    """All parts of one soak; `async with` starts and ends them."""
+    """All parts of one soak; `async with` starts and stops them.
+
+    Attributes
+    ----------
+    unplanned : int
+        Number of unplanned faults in progress.
+    unplanned_until : float
+        Time at which the last unplanned fault ended.
+    """
 
     def __init__(self, seed, directory, entries=3, workers=6):
         loop = asyncio.get_running_loop()
@@ -169,7 +186,7 @@
         self.clock = lambda: loop.time() - began
         self.rng = random.Random(f"{seed}-faults")
         self.oracle = Oracle(self.clock)
-        ports = own_ports(1 + workers + 4 * entries)
+        ports = free_ports(1 + workers + 4 * entries)
         rng = random.Random(f"{seed}-store")
         self.store = SoakStore(self.clock, rng, ports.pop())
         self.workers = make_workers(
@@ -181,7 +198,7 @@
         self.version = 1
         self.unplanned = 0
         self.unplanned_until = 0.0
-        self._count = entries
+        self._entry_count = entries
         self._directory = directory
         self._tasks = []
 
@@ -194,11 +211,11 @@
             await proxy.start()
             self.worker_proxies[worker.name] = proxy
             await self.register(worker)
-        for number in range(self._count):
+        for number in range(self._entry_count):
             proxy = Proxy(self.store.store_address)
             await proxy.start()
-            mine = self._entry_ports[4 * number : 4 * number + 4]
-            entry = Entry(f"e{number}", self._directory, proxy, mine)
+            ports = self._entry_ports[4 * number : 4 * number + 4]
+            entry = Entry(f"e{number}", self._directory, proxy, ports)
             entry.start()
             self.entries.append(entry)
         await self.configure()
@@ -216,19 +233,19 @@
             await proxy.stop()
 
     async def watch(self):
-        """Notice entry processes that end by themselves, until cancelled."""
+        """Report and restart entry processes that crash, until cancelled."""
         while True:
             await asyncio.sleep(0.5)
             for entry in self.entries:
                 code = entry.process.poll()
                 if code is not None and code > 0:
-                    self.oracle.violate("CRASH", f"{entry.name}: code {code}")
+                    self.oracle.report_violation("CRASH", f"{entry.name}: code {code}")
                     entry.start()
 
-    def broken_off(self, entry, began, what):
-        """Check an answer that ended early: only unplanned faults may do that."""
+    def check_broken_off(self, entry, began, what):
+        """Check an answer that broke off, which only unplanned faults may cause."""
         if not self.unplanned and began > self.unplanned_until + STABLE_S:
-            self.oracle.violate("LOST", f"{what} broken off by {entry.name}")
+            self.oracle.report_violation("LOST", f"{what} broken off by {entry.name}")
 
     async def register(self, worker):
         address = self.worker_proxies[worker.name].address
@@ -239,7 +256,7 @@
         await self.store.storage.commit(Transaction(removes=[key]))
 
     async def configure(self):
-        """Write a new version of the configuration; one queue needs advice."""
+        """Write a new version of the configuration; one route needs advice."""
         advice = {"decide_ms": 20, "each_ms": 1, "valid_ms": 2000}
         cfg = config(self.version)
         cfg["routes"].append(
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""Short seeded soak, regression seeds, and what the oracle must notice."""
+"""Short seeded soak, regression seeds, and tests of the oracle."""
 
 import asyncio
 
@@ -8,14 +8,14 @@
 from tests.soak.oracle import Oracle, SoakJob
 from tests.soak.workers import make_workers
 
-# Seeds that failed once, each with its cause.
+# Duration in seconds of each seed that failed once, with the cause of the failure.
 REGRESSIONS = {
-    # An order held up by a worker stand-in was carried out in the worker's next life.
+    # A worker stand-in executed a delayed order after its restart.
     6: 15.0,
 }
 
 
-def play(seed, seconds, directory):
+def run_soak(seed, seconds, directory):
     oracle, faults = asyncio.run(soak(seed, seconds, directory))
     assert oracle.broken == [], faults.injected
     assert oracle.starts > 50
@@ -23,12 +23,12 @@
 
 
 def test_short_soak_breaks_no_promise(tmp_path):
-    play(1, 10.0, tmp_path)
+    run_soak(1, 10.0, tmp_path)
 
 
 @pytest.mark.parametrize(("seed", "seconds"), REGRESSIONS.items())
 def test_seed_that_failed_once_breaks_no_promise(seed, seconds, tmp_path):
-    play(seed, seconds, tmp_path)
+    run_soak(seed, seconds, tmp_path)
 
 
 class Clock:
@@ -40,8 +40,8 @@
 
 
 @pytest.fixture
-def world():
-    """Return an oracle that knows one job of two steps, two workers and the time."""
+def simulation():
+    """Return an oracle that knows one job of two steps, two workers and a clock."""
 
     async def build():
         clock = Clock()
@@ -65,15 +65,15 @@
     return [line.split()[1].rstrip(":") for line in oracle.broken]
 
 
-def test_second_run_beside_the_first_is_noticed(world):
-    oracle, (first, second), _ = world
+def test_second_run_beside_the_first_is_reported(simulation):
+    oracle, (first, second), _ = simulation
     start(first, "a.0.0.0")
     start(second, "a.0.0.0", run=2)
     assert rules(oracle) == ["TWICE"]
 
 
-def test_start_after_an_end_that_was_noted_is_noticed(world):
-    oracle, (first, second), clock = world
+def test_start_after_an_acknowledged_end_is_reported(simulation):
+    oracle, (first, second), clock = simulation
     start(first, "a.0.0.0")
     first.runs["a.0.0.0", 1] = (1.0, 3000, "done")
     clock.now = 2.0
@@ -84,15 +84,15 @@
     assert rules(oracle) == ["TWICE"]
 
 
-def test_step_before_its_turn_and_room_exceeded_are_noticed(world):
-    oracle, (first, _), _ = world
+def test_step_out_of_order_and_exceeded_capacity_are_reported(simulation):
+    oracle, (first, _), _ = simulation
     start(first, "a.0.0.0")
     start(first, "a.0.1.0")
     assert rules(oracle) == ["ORDER", "LIMIT"]
 
 
-def test_starts_that_nobody_asked_for_are_noticed(world):
-    oracle, (first, second), clock = world
+def test_starts_that_nobody_asked_for_are_reported(simulation):
+    oracle, (first, second), clock = simulation
     start(first, "b.0.0.0")
     start(first, "a.0.0.0", spec="other text")
     oracle.jobs["a"].cancelled_at = 1.0
@@ -101,13 +101,13 @@
     assert rules(oracle) == ["UNASKED"] * 3
 
 
-def test_states_shown_falsely_are_noticed(world):
-    oracle, _, clock = world
+def test_false_states_are_reported(simulation):
+    oracle, _, clock = simulation
     job = oracle.jobs["a"]
     job.accepted_at = 1.0
     clock.now = 10.0
-    oracle.shown(job, 410, "")
-    oracle.shown(job, 200, "done")
+    oracle.state_answered(job, 410, "")
+    oracle.state_answered(job, 200, "done")
     job.state = "running"
     oracle.finish()
     assert rules(oracle) == ["LOST", "MIXED", "LOST"]
