--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -274,7 +274,7 @@
         self._meters.observe("poplaryard_take_over_seconds", self._clock.now() - began)
         for name, suspect in suspects.items():
             if name not in workers and suspect.address:
-                self._start_renewals(self.partition.suspect_unlisted(name, suspect))
+                self._start_renewals(self.partition.add_unlisted_suspect(name, suspect))
         for info in workers.values():
             self.worker_listed(info)
         logger.info(
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -101,7 +101,7 @@
         }
         return found | self._current_suspects(now)
 
-    def suspect_unlisted(self, worker_id: str, suspect: Suspect) -> Worker:
+    def add_unlisted_suspect(self, worker_id: str, suspect: Suspect) -> Worker:
         """Add a worker that is no longer listed, so that it is asked for its runs."""
         info = WorkerInfo(
             worker_id,
--- a/tests/workload/test_partition.py
+++ b/tests/workload/test_partition.py
@@ -370,7 +370,9 @@
         workers=1, suspects={"left": Suspect("10.0.9.9:80", draining=True)}
     )
     group.partition._quarantine_until = group.now + 12.0
-    left = group.partition.suspect_unlisted("left", group.partition._suspects["left"])
+    left = group.partition.add_unlisted_suspect(
+        "left", group.partition._suspects["left"]
+    )
     spec = job(JOB)
     group.submit(spec, fresh=False)
     group.run(0.5)
