--- a/src/poplaryard/workload/advising.py
+++ b/src/poplaryard/workload/advising.py
@@ -23,8 +23,9 @@
 # Time by which advice is requested early, in addition to the duration of the call, in
 # seconds: the expected ends of runs are estimates.
 ADVICE_AHEAD_S = 0.3
-# Share of a permit's validity for which it may wait for the steps before its own to
-# end. Short steps thus have their permits by the time they are ready.
+# Advice is requested for a step before it is ready, if the steps that it waits for are
+# expected to end within this share of a permit's validity. Short steps thus have their
+# permits by the time they are ready.
 PERMIT_SHARE_AHEAD = 0.5
 # Number of gangs that may request advice before any worker has room. Room is only
 # reserved for a gang on workers that it may use, but each such gang delays the calls
@@ -33,7 +34,7 @@
 # Number of tasks that the workers named in a call should have room for, per unfinished
 # task of the step: as few as a third of the workers may be permitted.
 PLACES_PER_TASK = 4
-# Minimum number of workers in a call, for the same reason.
+# Minimum number of workers in a call, as some of them may not be permitted.
 LEAST_NAMES = 8
 # Room that runs release within this many seconds is counted in the group's total, which
 # is checked before any single worker.
@@ -62,8 +63,8 @@
 
     def __init__(self, *args: t.Any, **fields: t.Any):
         super().__init__(*args, **fields)
-        self._ending: dict[tuple[Worker, float], Resources] = {}
-        self._ending_at = 0.0
+        self._ending_rooms: dict[tuple[Worker, float], Resources] = {}
+        self._ending_rooms_at = 0.0
 
     def advice_answered(
         self,
@@ -98,8 +99,8 @@
         """Yield the calls to make to the advice service now, the most urgent first.
 
         Under overload, most steps wait for room that more urgent ones will take. The
-        total that these leave is tracked, so that steps which don't fit into it are
-        skipped without a search of the workers.
+        room that these leave in the whole group is tracked. A step that does not fit
+        into it is skipped without a search of the workers.
 
         Parameters
         ----------
@@ -160,7 +161,11 @@
         return True
 
     def _call_s(self, step: StepRun) -> float:
-        """Return the duration of a call that names all workers, in seconds."""
+        """Return the duration of a call that names all workers, to 0.1 s.
+
+        It is part of the key under which `_ending_room` caches the room. Rounding lets
+        queues with similar costs share the entries.
+        """
         advice = step.job.spec.advice
         if advice is None:
             return 0.0
@@ -169,13 +174,13 @@
 
     def _ending_room(self, worker: Worker, within_s: float, now: float) -> Resources:
         """Return the room that a worker's runs are expected to release (cached)."""
-        if now > self._ending_at + ENDS_FRESH_S:
-            self._ending.clear()
-            self._ending_at = now
+        if now > self._ending_rooms_at + ENDS_FRESH_S:
+            self._ending_rooms.clear()
+            self._ending_rooms_at = now
         key = worker, within_s
-        if key not in self._ending:
-            self._ending[key] = worker.ending_room(now + within_s, now)
-        return self._ending[key]
+        if key not in self._ending_rooms:
+            self._ending_rooms[key] = worker.ending_room(now + within_s, now)
+        return self._ending_rooms[key]
 
     def _advice_for(
         self,
@@ -231,8 +236,8 @@
                 claimed = claimed + need
                 rooms[worker] = rooms[worker] - need
         if step.spec.gang:
-            asks_unasked = bool(unasked) and (may_ask_early or has_room)
-            wanted = asks_unasked or self._gang_could_start(step, now)
+            may_ask_unasked = bool(unasked) and (may_ask_early or has_room)
+            wanted = may_ask_unasked or self._gang_could_start(step, now)
         else:
             wanted = not could_start and has_room
         if step.asking or not wanted or not (approved or unasked):
--- a/src/poplaryard/workload/ends.py
+++ b/src/poplaryard/workload/ends.py
@@ -31,7 +31,7 @@
         if run is not None:
             worker.release(run)
             task.runs.remove(run)
-        task.run = max(task.run, ended.run)
+        task.last_run_number = max(task.last_run_number, ended.run)
         job = task.step.job
         job.started = True
         job.active_at = now
@@ -62,7 +62,7 @@
             self._tasks.pop(task.name, None)
 
     def _keep_checkpoint(self, task: Task, checkpoint: str) -> None:
-        """Store a checkpoint of a task; any member's is valid for its whole gang."""
+        """Record a checkpoint of a task; in a gang it is valid for all members."""
         members = task.step.tasks if task.step.spec.gang else [task]
         for member in members:
             member.checkpoint = checkpoint
@@ -80,7 +80,7 @@
         task.done = True
         step.remaining -= 1
         job.progress.done.setdefault(step.key, []).append(task.index)
-        job.progress.run = max(job.progress.run, task.run)
+        job.progress.run = max(job.progress.run, task.last_run_number)
         self._dirty.add(job.spec.job_id)
         # Stop speculative copies. The runs of a done gang end by themselves.
         for run in list(task.runs):
@@ -106,7 +106,7 @@
         failed = job.progress.failures.setdefault(key, [])
         if number not in failed:
             failed.append(number)
-        job.progress.run = max(job.progress.run, task.run)
+        job.progress.run = max(job.progress.run, task.last_run_number)
         self._dirty.add(job.spec.job_id)
         logger.info(
             "run failed",
--- a/src/poplaryard/workload/jobtable.py
+++ b/src/poplaryard/workload/jobtable.py
@@ -189,7 +189,13 @@
             done = set(job.progress.done.get(step.key, ()))
             for position in range(spec.count):
                 name = f"{step.name}.{position}"
-                task = Task(name, step, position, run=base_run, done=position in done)
+                task = Task(
+                    name,
+                    step,
+                    position,
+                    last_run_number=base_run,
+                    done=position in done,
+                )
                 if name in self._quarantined_tasks:
                     task.not_before = self._quarantine_until
                 step.tasks.append(task)
@@ -261,10 +267,12 @@
         return self._suspects
 
     def _blocked(self, job: JobRun, now: float) -> bool:
-        """Return whether runs of the job at another owner can't be ruled out.
+        """Return whether starting tasks of the job could repeat another owner's runs.
 
-        An owner whose lease may have expired continues the jobs that it has started and
-        starts no others: a later owner starts jobs that are new to it immediately.
+        A later owner starts jobs that are new to it immediately. An owner whose lease
+        may have expired therefore only continues jobs that were started before. A job
+        that an earlier owner may have started waits while the runs of any suspect are
+        not known.
         """
         if not self.sole_owner and not job.started:
             return True
--- a/src/poplaryard/workload/model.py
+++ b/src/poplaryard/workload/model.py
@@ -158,8 +158,8 @@
     fills : bool
         Whether tasks only use processor time that other tasks leave idle.
     may_miss : int
-        Maximum number of lasting tasks that the scheduler may keep from running at the
-        same time.
+        Maximum number of the step's lasting tasks that the scheduler may leave without
+        a run at the same time.
     """
 
     count: int
@@ -234,8 +234,9 @@
     done : dict of str to list of int
         Indices of finished tasks by occurrence and step ("OCCURRENCE.STEP").
     failures : dict of str to list of int
-        Numbers of failed runs by task, or by step for a gang. A count would not do:
-        a worker can list the same failed run again, which must count only once.
+        Run numbers of the failed runs, by task, or by step for a gang. They are kept
+        instead of a count because a worker can report the same failed run again, which
+        must count only once.
     run : int
         Highest run number used so far.
     finished_at : float
@@ -308,6 +309,8 @@
     """How a run ended, as reported by its worker.
 
     The values are defined by the platform. `LAPSED` means that the run's lease expired.
+    After any outcome but `DONE` and `FAILED`, the task may be started again and no
+    failure is counted for it.
     """
 
     DONE = "done"
@@ -319,7 +322,10 @@
 
 
 class RunningRun(t.NamedTuple):
-    """Run in progress, as reported by its worker; `percent` is its progress."""
+    """Run in progress, as reported by its worker.
+
+    `percent` is its progress. `load` is 0 if the worker reports none.
+    """
 
     task: str
     run: int
--- a/src/poplaryard/workload/partition.py
+++ b/src/poplaryard/workload/partition.py
@@ -34,8 +34,8 @@
 # which change slowly in long runs.
 STALL_S = 2.5
 STALL_SHARE = 0.03
-# A run is a straggler once it has taken this share of its estimate and is expected to
-# need more than this many further estimates.
+# A run is a straggler if it has taken at least `COPY_AFTER` times its estimate and is
+# expected to take more than `COPY_GAIN` times the estimate from now on.
 COPY_AFTER = 0.6
 COPY_GAIN = 1.3
 # A speculative task is copied if its worker has not reported for this long, in seconds;
@@ -131,7 +131,7 @@
             chosen = placing.place_gang(step, candidates, self._reservations.free)
             if chosen is None:
                 return False
-            number = max(task.run for task in step.tasks) + 1
+            number = max(task.last_run_number for task in step.tasks) + 1
             for task, worker in zip(step.tasks, chosen, strict=True):
                 self._start(task, worker, number, now)
             return True
@@ -139,7 +139,7 @@
             found = placing.place(step, task, candidates, self._reservations.free)
             if found is None:
                 return False
-            self._start(task, found, task.run + 1, now)
+            self._start(task, found, task.last_run_number + 1, now)
         return True
 
     def _start(self, task: Task, worker: Worker, number: int, now: float) -> None:
@@ -147,7 +147,7 @@
         run = Run(task, number, worker, step.need, now)
         run.expires_at = now + LATE_ORDER_S
         run.from_start = not task.checkpoint
-        task.run = number
+        task.last_run_number = number
         task.runs.append(run)
         step.job.started = True
         step.job.active_at = now
@@ -264,13 +264,14 @@
                         "elapsed_s": round(now - run.sent_at, 3),
                     },
                 )
-                self._start(task, found, task.run + 1, now)
+                self._start(task, found, task.last_run_number + 1, now)
 
     def _is_straggler(self, run: Run, now: float) -> bool:
         """Return whether a new run is expected to end well before this one."""
         estimate_s = run.task.step.spec.estimate_s
-        # Up to the last report, from which the percentage dates. That may be a while
-        # ago, since workers report when a run ends and this process may be busy.
+        # Ends at the last report, not now, since the percentage dates from then.
+        # Workers report when a run ends and about every second, but their reports are
+        # late if this process is busy.
         elapsed_s = run.seen_at - run.sent_at
         if run.phase is not RunPhase.RUNNING:
             return False
--- a/src/poplaryard/workload/records.py
+++ b/src/poplaryard/workload/records.py
@@ -44,7 +44,11 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """Scheduler process; `strength` is its capacity to own a group, from 0 to 1."""
+    """Scheduler process, as listed in the store for its peers.
+
+    `strength` rates its processor share and network link, from 0 to 1 (sufficient to
+    own a group).
+    """
 
     process: str
     address: str
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -10,8 +10,9 @@
 __all__ = ["WorkerReportHandler"]
 
 
-# Time without an answer from which a worker counts as unresponsive, in seconds. It is
-# given no new work meanwhile, so all tasks that it may run are known by then.
+# A worker that has not answered for this many seconds is unresponsive. Nothing is
+# started on a worker that does not answer, so all tasks that it may run are known by
+# then.
 SILENT_S = 1.0
 
 
@@ -83,7 +84,7 @@
         self._drop_runs(worker, reason, now)
 
     def _drop_runs(self, worker: Worker, reason: str, now: float) -> None:
-        """Drop all runs of a worker, which certainly no longer exist."""
+        """Drop all runs of a worker that certainly no longer holds any of them."""
         for run in list(worker.runs.values()):
             self._run_lost(run, now, reason)
         worker.rejected_runs.clear()
@@ -117,7 +118,10 @@
         return worker
 
     def is_watched(self, worker: Worker, now: float) -> bool:
-        """Return whether the worker has to be polled: it is listed or may hold runs."""
+        """Return whether to keep renewing the worker's leases.
+
+        This is so while it is listed, answers or may hold runs.
+        """
         if worker.gone:
             return False
         if worker.listed or worker.runs or worker.reachable:
@@ -230,7 +234,7 @@
         run = Run(task, running.run, worker, task.step.need, now)
         run.progressed_at = now
         run.from_start = False
-        task.run = max(task.run, running.run)
+        task.last_run_number = max(task.last_run_number, running.run)
         task.runs.append(run)
         task.step.job.started = True
         task.step.job.active_at = now
--- a/src/poplaryard/workload/runtime.py
+++ b/src/poplaryard/workload/runtime.py
@@ -11,14 +11,16 @@
 
 # Fraction by which a worker's monotonic clock may run slow.
 CLOCK_DRIFT = 0.02
-# Number of further objectives after which the result of a late job is of no use to its
-# caller: the users' requirements accept results within three objectives in all.
+# A job that misses its objective by more than this many times the objective is of no
+# use to its caller: the users' requirements accept results within three times the
+# objective.
 LATE_FACTOR = 2.0
 # Added to the time at which a worker's leases must have expired, in seconds: the worker
 # checks its leases, and reports the ended runs, slightly later.
 LAPSE_SLACK_S = 0.5
-# Progress, in percentage points, from which a run's end is extrapolated from its speed
-# rather than taken from its estimate: workers report whole percentages.
+# Minimum progress, in percentage points, for a run's end to be extrapolated from its
+# speed. Workers report whole percentages, so the speed is too inaccurate before; the
+# end is then computed from the estimate.
 LEAST_PROGRESS = 5
 
 
@@ -27,7 +29,8 @@
 # seven times as long.
 SLOWNESS_SHARE = 0.15
 SLOWNESS_STEP_MAX = 1.0
-# Run times below this consist mostly of the time of the calls, in seconds.
+# Minimum run time that enters the mean, in seconds; shorter ones are raised to it. They
+# consist mostly of the time of the calls to the worker.
 LEAST_RUN_S = 0.05
 
 
@@ -68,8 +71,8 @@
     refused : bool
         Whether the last renewal failed because the connection was refused.
     seen_seq, acked_seq : int
-        Highest sequence number of its ended runs that was processed, and that may be
-        acknowledged because the result is stored.
+        Sequence numbers of its ended runs: the highest that was processed, and the
+        highest that may be acknowledged, because all results up to it are stored.
     clock_s, clock_at : float
         Its monotonic clock, and the owner's time at which it was read, in seconds.
     latest_deadline_s : float
@@ -178,7 +181,7 @@
     from_start : bool
         Whether this owner started it, and not from a checkpoint.
     load : float
-        Load that the worker reported for the run.
+        Load in the worker's last report of the run; no decision depends on it.
     first_percent : float
         First percentage that the worker reported: a run that was adopted, or resumed
         from a checkpoint, does not start at 0.
@@ -228,7 +231,7 @@
     ----------
     runs : list of Run
         Runs that may be in progress; more than one only for speculative copies.
-    run : int
+    last_run_number : int
         Highest run number used so far.
     avoid : set of str
         Workers on which it failed or stalled.
@@ -239,7 +242,7 @@
     name: str
     step: "StepRun"
     index: int
-    run: int = 0
+    last_run_number: int = 0
     done: bool = False
     checkpoint: str = ""
     runs: list[Run] = field(default_factory=list)
--- a/src/poplaryard/workload/storage.py
+++ b/src/poplaryard/workload/storage.py
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Part of a range, and the store's revision when it was read."""
+    """Some items of a range of keys, and the store's revision when it was read.
+
+    `more` tells whether the range has further items.
+    """
 
     items: tuple[Item, ...]
     more: bool
--- a/tests/workload/test_relay.py
+++ b/tests/workload/test_relay.py
@@ -28,7 +28,7 @@
 class RelayFixture:
     """`RelayedStorage` with one peer, whose store is ``store``.
 
-    Direct calls go to ``direct``, which `reject_direct_calls` lets fail.
+    Direct calls go to ``direct``, and fail after `reject_direct_calls`.
     """
 
     def __init__(self):
--- a/tests/workload/test_room.py
+++ b/tests/workload/test_room.py
@@ -93,6 +93,7 @@
     group.submit(gang)
     request = wanted_advice(group.partition, group.now)
     tickets = dict.fromkeys(request.workers, "t")
+    # The tickets have expired when they arrive.
     group.partition.advice_answered(request, tickets, group.now, group.now)
     group.advise = lambda: None
     group.run(0.5)
