--- a/src/poplaryard/demo.py
+++ b/src/poplaryard/demo.py
@@ -98,7 +98,8 @@
         "payload": {"run_ms": 20, "echo": f"{shape.name}/{number}"},
     }
     if shape.name == "booking" and number % 3 == 0:
-        # A pass confirmation runs at most once, and one at a time for each pass.
+        # A pass confirmation, the example of non-idempotent work: it runs at most once,
+        # and confirmations of the same pass run one at a time.
         body["idempotent"] = False
         body["issued_at"] = SystemClock().wall()
         body["exclusive_key"] = f"pass-{number % 4}"
@@ -184,6 +185,7 @@
 
 
 def _all_complete(results: _Results) -> bool:
+    # The requests to the services, and the batch jobs of `_submit_jobs`.
     expected = len(SHAPES) * ROUNDS + 4
     total, complete = sum(results.requests.values()), sum(results.complete.values())
     return total == complete == expected
--- a/src/poplaryard/standin_worker.py
+++ b/src/poplaryard/standin_worker.py
@@ -35,7 +35,8 @@
 UNLIMITED = Renewal(2**63, 2**63)
 # Requests that one executor runs at the same time.
 SLOTS = 8
-# Requests that one executor accepts, running and queued ones together.
+# Requests that one executor accepts, running and queued ones together. The name is that
+# of the service's setting ``connections``.
 CONNECTIONS = 64
 # Run records kept for tests and the load generator; older ones are dropped.
 RECORDS_KEPT = 200_000
@@ -91,6 +92,8 @@
 class _Run:
     """Running or queued attempt.
 
+    An executor is the attempt of a service; only there `waiting` and `busy` are used.
+
     Attributes
     ----------
     report : AttemptReport
--- a/tests/fault_matrix.py
+++ b/tests/fault_matrix.py
@@ -44,7 +44,7 @@
 UNKNOWN = "unknown"
 
 
-class _LargestWorld(random.Random):
+class _UpperBoundRandom(random.Random):
     """Random source for the largest small world, with clocks that have no error."""
 
     def randint(self, a, b):
@@ -57,6 +57,18 @@
 class Scenario:
     """System of one cell, and the callers that submit work to it.
 
+    The request under test is "r1". Other requests only bring the system to a step or
+    fill it.
+
+    Parameters
+    ----------
+    idempotent : bool
+        Whether work is idempotent; if not, it has an exclusive key.
+    real_scheduler : bool
+        Whether shards are owned by the real scheduler and not by that of the fuzzer.
+    without : frozenset of str
+        Safety mechanisms that are switched off.
+
     Attributes
     ----------
     outcomes : dict of str to str
@@ -65,8 +77,10 @@
         Whether the workers finish attempts after half a second.
     """
 
-    def __init__(self, idempotent=False, *, real=True, without=frozenset()):
-        self.world = World(_LargestWorld(1), without, small=True, real_scheduler=real)
+    def __init__(self, idempotent=False, *, real_scheduler=True, without=frozenset()):
+        self.world = World(
+            _UpperBoundRandom(1), without, small=True, real_scheduler=real_scheduler
+        )
         self.outcomes = {}
         self.finishing = True
         self._ends_at = {}
@@ -92,7 +106,7 @@
     # Work
 
     def submit(self, request_id, **fields):
-        """Submit work, by default a batch job of the scenario's idempotence."""
+        """Submit work, by default a batch job that is idempotent if the scenario is."""
         fields.setdefault("kind", WorkKind.BATCH)
         fields.setdefault("need", Resources(1000, 100, 0))
         fields.setdefault("idempotent", self.idempotent)
@@ -428,16 +442,23 @@
     owner = scenario.owner()
     if owner is None:
         return _no_heal
-    me = _endpoint(owner.name)
-    others = [endpoint for endpoint in _endpoints(scenario) if endpoint != me]
-    return _cut(scenario, [(me, endpoint) for endpoint in [*others, "store/dc1"]])
+    owner_endpoint = _endpoint(owner.name)
+    others = [
+        endpoint for endpoint in _endpoints(scenario) if endpoint != owner_endpoint
+    ]
+    return _cut(
+        scenario, [(owner_endpoint, endpoint) for endpoint in [*others, "store/dc1"]]
+    )
 
 
 def _owner_cut_from_workers(scenario):
     owner = scenario.owner()
-    me = _endpoint(owner.name) if owner else ""
+    owner_endpoint = _endpoint(owner.name) if owner else ""
     return _cut(
-        scenario, [(me, worker) for worker in scenario.world.workers] if me else []
+        scenario,
+        [(owner_endpoint, worker) for worker in scenario.world.workers]
+        if owner_endpoint
+        else [],
     )
 
 
@@ -585,9 +606,9 @@
     if fault == _CANCELLED:
         scenario.outcomes.setdefault("r1", "not_run")
     scenario.retry_until_answered()
-    # After a take-over, an owner that learns from the list that an unclaimed VM has
-    # left answers "unknown" for ids issued until then plus the skew allowance. Wait for
-    # the next reading of the list, so that the last request's id is newer.
+    # After a take-over, an owner may read from the list that an unclaimed VM has left.
+    # It then answers "unknown" for ids issued up to the skew allowance after this
+    # reading. The last request has to be newer.
     scenario.run(SKEW_S + max(LIST_INTERVALS_S) + 1.0)
     scenario.submit("after")
     scenario.retry_until_answered()
--- a/tests/fault_matrix_tickets.py
+++ b/tests/fault_matrix_tickets.py
@@ -15,7 +15,7 @@
 # Faults of one store call, as `FakeStore.fail_call` takes them.
 CALL_FAULTS = ("down", "dropped", "lost")
 # Store calls of a filing that are made to fail: one more than the filing of a ticket
-# with one object makes.
+# with one object makes, so that the last position is past its last call.
 CALLS = 8
 
 FILED = "accepted once, or not accepted and absent; filing again gives one number"
@@ -60,7 +60,7 @@
 
 
 def check_filing(step, fault, rival):
-    """Check that answers of "accepted" and "not accepted" hold in one cell."""
+    """Check that the results "accepted" and "not accepted" agree with the store."""
     store, results, config, again = run_filing(step, fault, rival)
     accepted = [r for r in results if r.code is Code.TICKET_ACCEPTED]
     unknown = [r for r in results if r.code is Code.TICKET_UNKNOWN]
--- a/tests/test_standin_worker.py
+++ b/tests/test_standin_worker.py
@@ -38,27 +38,27 @@
         self.clock = Clock()
         self.vm = WorkerVm("vm", CAPACITY, self.clock)
 
-    def code(self, *args, **fields):
+    def start_code(self, *args, **fields):
         return self.vm.start(start(*args, **fields)).code
 
     def test_lower_epochs_are_refused(self):
         """Guards against a stand-in that obeys an old owner after a take-over (G1)."""
         self.assertTrue(self.vm.claim(2).accepted)
-        self.assertEqual(Code.STALE_EPOCH, self.code(epoch=1))
+        self.assertEqual(Code.STALE_EPOCH, self.start_code(epoch=1))
         self.assertFalse(self.vm.claim(1).accepted)
         self.vm.set_faults(Faults(ignore_epochs=True))
-        self.assertEqual(Code.OK, self.code(epoch=1))
+        self.assertEqual(Code.OK, self.start_code(epoch=1))
 
     def test_late_and_repeated_starts_are_refused(self):
         """Guards against a stand-in that starts late, or one attempt twice (G2, G3)."""
-        self.assertEqual(Code.START_EXPIRED, self.code(valid_until_ms=99_999))
-        self.assertEqual(Code.OK, self.code())
-        self.assertEqual(Code.ATTEMPT_REPEATED, self.code())
+        self.assertEqual(Code.START_EXPIRED, self.start_code(valid_until_ms=99_999))
+        self.assertEqual(Code.OK, self.start_code())
+        self.assertEqual(Code.ATTEMPT_REPEATED, self.start_code())
 
-    def test_an_overfilling_start_is_refused_and_counted(self):
+    def test_start_beyond_the_capacity_is_refused_and_counted(self):
         """Guards against overcommitment (P1) that the run records do not show."""
-        self.assertEqual(Code.OK, self.code(need=CAPACITY))
-        self.assertEqual(Code.WORKER_FULL, self.code("a2", need=Resources(1)))
+        self.assertEqual(Code.OK, self.start_code(need=CAPACITY))
+        self.assertEqual(Code.WORKER_FULL, self.start_code("a2", need=Resources(1)))
         self.assertEqual(1, self.vm.overcommits)
 
     def test_tasks_end_with_their_lease(self):
@@ -66,7 +66,7 @@
         asyncio.run(self._check_lease())
 
     async def _check_lease(self):
-        self.code()
+        self.start_code()
         self.clock.now += 3.0
         await self.vm.poll(1, 0, 0.0)
         self.clock.now += 3.0
@@ -84,8 +84,8 @@
         """
 
         async def poll():
-            self.code("a1")
-            self.code("a2", exclusive_key="k")
+            self.start_code("a1")
+            self.start_code("a2", exclusive_key="k")
             self.clock.now += 3.0
             await self.vm.poll(1, 0, 0.0, Renewal(103_000, 102_999))
             self.clock.now += 2.0
@@ -98,8 +98,8 @@
 
     def test_claims_report_running_and_ended_attempts(self):
         """Guards against a claim that omits attempts or never forgets them (G5)."""
-        self.code("a1")
-        self.code("a2")
+        self.start_code("a1")
+        self.start_code("a2")
         self.vm.stop(StopAttempt("vm", "a1", 1, StopMode.CHECKPOINT))
         states = {item.attempt_id: item.state for item in self.vm.claim(2).attempts}
         self.assertEqual(
@@ -113,14 +113,14 @@
         asyncio.run(self._check_reports())
 
     async def _check_reports(self):
-        self.code()
+        self.start_code()
         self.vm.stop(StopAttempt("vm", "a1", 1))
         for _ in range(2):
             reply, number = await self.vm.poll(1, 0, 0.0)
             self.assertEqual(1, len(reply.attempts))
         self.assertEqual((), (await self.vm.poll(1, number, 0.0))[0].attempts)
         self.vm.set_faults(Faults(duplicate_reports=True, leaving=True))
-        self.code("a2")
+        self.start_code("a2")
         self.vm.stop(StopAttempt("vm", "a2", 1))
         _, number = await self.vm.poll(1, number, 0.0)
         reply, _ = await self.vm.poll(1, number, 0.0)
@@ -142,11 +142,11 @@
         asyncio.run(self._check_executor())
 
     async def _check_executor(self):
-        self.assertEqual(Code.WORKER_FULL, self.code("r", executor="gone"))
-        self.code("e1")
+        self.assertEqual(Code.WORKER_FULL, self.start_code("r", executor="gone"))
+        self.start_code("e1")
         payload = {"run_ms": 60_000}
         codes = [
-            self.code(f"q{index}", executor="e1", payload=payload)
+            self.start_code(f"q{index}", executor="e1", payload=payload)
             for index in range(CONNECTIONS + 1)
         ]
         self.assertEqual([Code.OK] * CONNECTIONS + [Code.WORKER_FULL], codes)
@@ -163,12 +163,12 @@
 
     async def _check_faults(self):
         self.vm.set_faults(Faults(fail_all=True))
-        self.code("e1")
-        self.code("q1", executor="e1", payload={"echo": 1})
+        self.start_code("e1")
+        self.start_code("q1", executor="e1", payload={"echo": 1})
         reply, _ = await self.vm.poll(1, 0, 10.0)
         self.assertEqual(AttemptState.FAILED, reply.attempts[0].state)
         self.vm.set_faults(Faults(paused=True))
-        self.code("q2", executor="e1")
+        self.start_code("q2", executor="e1")
         await asyncio.sleep(0.01)
         self.clock.now += 60.0
         self.vm.set_faults(Faults())
