--- a/src/poplaryard/logs.py
+++ b/src/poplaryard/logs.py
@@ -112,7 +112,7 @@
 
 
 class _ContextFilter(logging.Filter):
-    """Adds the ids of the process, the ticket in force and the request to records."""
+    """Adds the ids of process, configuration ticket and request to log records."""
 
     def __init__(self, process: str, ticket: t.Callable[[], int]):
         super().__init__()
@@ -142,7 +142,7 @@
     level : str
         Lowest level that is logged, in upper or lower case.
     ticket : callable
-        Returns the number of the ticket in force.
+        Returns the number of the configuration ticket in force.
     stream : text stream, optional
         Standard error by default.
     """
--- a/src/poplaryard/monitoring.py
+++ b/src/poplaryard/monitoring.py
@@ -26,7 +26,7 @@
         """Return counters and gauges by metric name."""
 
     def ticket(self) -> int:
-        """Return the number of the ticket in force."""
+        """Return the number of the configuration ticket in force."""
 
 
 class Monitor:
--- a/src/poplaryard/platform/codec.py
+++ b/src/poplaryard/platform/codec.py
@@ -111,18 +111,18 @@
     limits: _Limits = _Limits()
 
 
-class _Room(msgspec.Struct):
+class _Capacity(msgspec.Struct):
     cpu: Natural = 0
     mem_mb: Natural = 0
     gpu: Natural = 0
 
 
-class _Entry(msgspec.Struct):
+class _WorkerEntry(msgspec.Struct):
     service: str
     address: str
     zone: str
     state: t.Literal["ready", "draining"]
-    room: _Room
+    room: _Capacity
     labels: list[str]
     remaining_ms: Milliseconds = 0.0
     clock_ms: Milliseconds = 0.0
@@ -130,7 +130,7 @@
     machine: str = ""
 
 
-class _Hold(msgspec.Struct):
+class _HoldAnswer(msgspec.Struct):
     clock_ms: float
     running: list[list[t.Any]] = []
     finished: list[list[t.Any]] = []
@@ -139,8 +139,8 @@
 
 _submission_decoder = msgspec.json.Decoder(_Submission)
 _config_decoder = msgspec.json.Decoder(_Config)
-_entry_decoder = msgspec.json.Decoder(_Entry)
-_hold_decoder = msgspec.json.Decoder(_Hold)
+_worker_entry_decoder = msgspec.json.Decoder(_WorkerEntry)
+_hold_answer_decoder = msgspec.json.Decoder(_HoldAnswer)
 
 
 def decode_submission(
@@ -201,7 +201,7 @@
 
 def decode_worker(key: str, value: bytes) -> WorkerInfo:
     """Decode the entry that a worker wrote about itself; raises `DecodeFailed`."""
-    entry = _decode(_entry_decoder, value)
+    entry = _decode(_worker_entry_decoder, value)
     return WorkerInfo(
         worker_id=key.removeprefix(WORKER_PREFIX),
         group=entry.service,
@@ -219,7 +219,7 @@
 
 def decode_hold_report(body: bytes) -> HoldReport:
     """Decode a worker's answer to a lease renewal; raises `DecodeFailed`."""
-    hold = _decode(_hold_decoder, body)
+    hold = _decode(_hold_answer_decoder, body)
     try:
         running = tuple(
             RunningRun(
--- a/src/poplaryard/platform/entry.py
+++ b/src/poplaryard/platform/entry.py
@@ -41,8 +41,8 @@
 # Time from SIGTERM until connections are closed, in seconds. The platform's load
 # balancer needs two probes, one a second, to notice that the process is not ready.
 LAME_DUCK_S = 2.5
-# Time for requests in progress after that, in seconds: as long as the write of a job
-# may be retried.
+# Time for requests in progress after `LAME_DUCK_S`, in seconds: as long as the write of
+# a job may be retried.
 DRAIN_S = 2.8
 # Part of the grace period that is reserved for closing the owners and ending the lease,
 # in seconds. SIGKILL ends the process when the period is over.
--- a/src/poplaryard/platform/front.py
+++ b/src/poplaryard/platform/front.py
@@ -23,7 +23,7 @@
 RETRY_S = 1.0
 # Part of the client's deadline that is reserved to send the response, in seconds.
 ANSWER_S = 0.2
-# Default deadline of a request, without the header x-deadline-ms, in seconds.
+# Deadline of a request that has no header x-deadline-ms, in seconds.
 DEADLINE_S = 3.0
 METRICS_PATH = "/metrics"
 # Limit of a peer's request: a transaction of 16 jobs of the largest size.
--- a/src/poplaryard/platform/store.py
+++ b/src/poplaryard/platform/store.py
@@ -103,7 +103,7 @@
         return int(_check(reply)["lease"])
 
     async def renew(self, lease: int) -> bool:
-        """Renew a lease; False if it has ended."""
+        """Renew a lease; return False if it has ended."""
         reply = await self._post(f"kv-keep/{lease}", {})
         if reply.status == 404:
             return False
--- a/src/poplaryard/server.py
+++ b/src/poplaryard/server.py
@@ -11,7 +11,8 @@
 
 __all__ = ["HttpServer"]
 
-# Longer than the idle timeout of `poplaryard.client`, so that clients close first.
+# Idle time after which the server closes a connection, in seconds. Longer than the
+# idle timeout of `poplaryard.client`, so that clients close first.
 KEEP_ALIVE_S = 75
 # Connections that may wait to be accepted.
 BACKLOG = 1024
--- a/src/poplaryard/store_http.py
+++ b/src/poplaryard/store_http.py
@@ -15,7 +15,7 @@
 
 __all__ = ["HttpStore"]
 
-# Timeout of a call, in seconds; a watch has this much more than its own wait.
+# Timeout of a call, in seconds; for a watch it is added to the requested wait.
 CALL_TIMEOUT_S = 1.5
 _STATUS_CONFLICT = 409
 
--- a/src/poplaryard/vmlist.py
+++ b/src/poplaryard/vmlist.py
@@ -10,7 +10,7 @@
 __all__ = ["ListedVm", "VmList", "VmListPoller"]
 
 # Time between two reads of the list, in seconds. Placements on a leaving VM are allowed
-# for 3 s after it was listed as leaving (P6).
+# for 3 s after it was listed as leaving (promise P6 in `poplaryard.oracle`).
 POLL_S = 2.0
 
 
--- a/src/poplaryard/workers_http.py
+++ b/src/poplaryard/workers_http.py
@@ -21,7 +21,8 @@
 
 _clock = SystemClock()
 
-# Timeouts in seconds; a poll has this much more than its own wait.
+# Timeouts of calls, in seconds. For a poll, `CALL_TIMEOUT_S` is added to the requested
+# wait.
 CALL_TIMEOUT_S = 1.5
 CLAIM_TIMEOUT_S = 3.0
 
--- a/src/poplaryard/workload/advice.py
+++ b/src/poplaryard/workload/advice.py
@@ -19,8 +19,8 @@
 SLOW_S = 0.1
 # Maximum number of quick calls in progress on a channel.
 QUICK_CALLS = 3
-# An owner uses its own channel for slow calls only after this long without a quick
-# call, in seconds.
+# Time without quick calls after which a process with usable peers makes slow calls
+# through its own channel too, in seconds.
 QUICK_IDLE_S = 5.0
 # Time for which a channel is not used after a failed call, and after a call that was
 # refused because another owner uses the channel, in seconds.
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -599,8 +599,8 @@
     def _claimable_group(self) -> str | None:
         """Return a group to claim, or None.
 
-        That is a group without a claim, or one with a claim in the name of this process
-        on which it does not act, as after a restart.
+        That is a group without a claim, or one that this process has claimed but does
+        not schedule, for example after a restart.
         """
         if not self._lease.has_lease():
             return None
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -43,7 +43,8 @@
 # written, in seconds. A worker reports an end again until it is written and
 # acknowledged, so lease renewals pause in the meantime.
 NOTE_DELAY_S = 0.04
-# Longest such pause of the renewals of one worker, in seconds.
+# Longest time for which the lease renewals of a worker pause until the ends that it
+# reported are written, in seconds.
 ENDS_KEPT_S = 0.25
 # Most entries of one transaction, and those that `GroupOwner` adds to each: the
 # expected claim, the expected sequence key and the new sequence key.
@@ -143,7 +144,7 @@
     retention_s : float
         Time for which callers may ask for a finished job.
     early_s : float
-        Not used.
+        Passed to `Partition`, which does not use it.
     """
 
     run_lease_s: float
@@ -161,7 +162,7 @@
 
 
 def _unrestricted(workers: dict[str, Suspect]) -> set[str]:
-    """Return the workers that may run any task, not only those listed for them."""
+    """Return the workers whose possible tasks are not limited to a stored list."""
     return {name for name, suspect in workers.items() if suspect.tasks is None}
 
 
@@ -224,7 +225,7 @@
         self._sequence = 0
         self._progress_written = asyncio.Event()
         self._stored_workers: dict[str, Suspect] = {}
-        self._orders_in_flight = 0
+        self._starts_in_flight = 0
         self._next_summary_at = clock.now() + SUMMARY_EVERY_S
         self._next_prune_at = clock.now() + PRUNE_EVERY_S
         self._next_removal_at = clock.now() + FORGET_EVERY_S
@@ -291,11 +292,11 @@
             self._spawn(loop)
 
     async def close(self) -> None:
-        """Stop starting runs, wait up to 0.2 s for orders in flight, and close."""
+        """Stop starting runs, wait up to 0.2 s for starts in flight, and close."""
         if self.partition is not None:
             self.partition.accepts_starts = False
         for _ in range(20):
-            if not self._orders_in_flight:
+            if not self._starts_in_flight:
                 break
             await asyncio.sleep(0.01)
         self.abandon()
@@ -424,7 +425,8 @@
     async def _update_workers(self) -> None:
         """Update the stored workers: add those that came back, remove those gone.
 
-        The next owner waits for all workers that are stored.
+        The next owner of the group waits for every stored worker, so a worker that can
+        no longer hold runs must not stay stored.
         """
         partition = t.cast(Partition, self.partition)
         if self._stored_workers != partition.possible_run_holders(self._clock.now()):
@@ -489,7 +491,7 @@
         now = self._clock.now()
         deadline = worker.clock_now(now) + START_WINDOW_S
         worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
-        self._orders_in_flight += 1
+        self._starts_in_flight += 1
         try:
             outcome = await self._calls.start(
                 worker.info,
@@ -502,7 +504,7 @@
                 order.ticket,
             )
         finally:
-            self._orders_in_flight -= 1
+            self._starts_in_flight -= 1
         partition.start_answered(run, outcome, self._clock.now())
         if outcome is not StartOutcome.STARTED:
             self._wake.set()
@@ -517,7 +519,9 @@
 
     def _ask_advice(self, now: float) -> None:
         partition = t.cast(Partition, self.partition)
-        channels = {slow: self._channels.select(slow, now) for slow in (False, True)}
+        channels = {
+            is_slow: self._channels.select(is_slow, now) for is_slow in (False, True)
+        }
 
         def has_channel(cost_s: float) -> bool:
             return channels[cost_s > SLOW_S] is not None
@@ -529,7 +533,8 @@
             task = self._spawn(self._advise(channel, request))
             task.add_done_callback(functools.partial(_release_channel, channel, slow))
             channels = {
-                kind: self._channels.select(kind, now) for kind in (False, True)
+                is_slow: self._channels.select(is_slow, now)
+                for is_slow in (False, True)
             }
 
     async def _advise(self, channel: Channel, request: AdviceRequest) -> None:
--- a/tests/platform/test_system.py
+++ b/tests/platform/test_system.py
@@ -179,7 +179,8 @@
     """Guards against callers that are still sent to an isolated data centre."""
 
     async def scenario(platform, first, second):
-        # The first process sees the second as an unreachable peer elsewhere.
+        # To the first process, the second looks like an unreachable peer in another
+        # data centre.
         await asyncio.sleep(0.3)
         member = first.node._members["p1"]
         first.node._members["p1"] = msgspec.structs.replace(
@@ -231,11 +232,11 @@
     async def scenario(platform, first, second):
         owner, other = (first, second) if first.node.owners else (second, first)
         platform.store_refuses = True
-        handing = asyncio.create_task(owner.node.hand_over(5.0))
+        hand_over_task = asyncio.create_task(owner.node.hand_over(5.0))
         await asyncio.sleep(0.8)
         assert owner.node.owners["desk"].partition.accepts_starts
         platform.store_refuses = False
-        await handing
+        await hand_over_task
         path = "/checks/" + "a" * 16
         assert (await other.call("POST", path, JOB))[0] == 200
         await until(other, path, "done")
@@ -251,7 +252,7 @@
         platform.store_silent = True
         began = asyncio.get_running_loop().time()
         await owner.node.hand_over(1.0)
-        # The timeout for the store, orders in flight, the end of the lease, and slack.
+        # The timeout for the store, starts in flight, the end of the lease, and slack.
         assert asyncio.get_running_loop().time() - began < 1.0 + 0.5 + 0.5 + 0.3
 
     run_with_processes(scenario)
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -39,7 +39,7 @@
         await server.stop()
 
     def test_call_with_a_refused_connection_counts_as_not_sent(self):
-        """Guards against an unknown outcome of a call that had no effect."""
+        """Guards against reporting an unsent call as one that may have taken effect."""
         asyncio.run(self._refused())
 
     async def _refused(self):
