--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -163,7 +163,7 @@
     def _reclaim(self, now: float) -> None:
         """Checkpoint work of teams above their fair share for a team below its own."""
         quotas = self._state.quotas
-        team = quotas.least_waiting()
+        team = quotas.lowest_share_waiter()
         if (
             team is None
             or quotas.excess_share(team)
--- a/src/poplaryard/bench_quota.py
+++ b/src/poplaryard/bench_quota.py
@@ -69,7 +69,7 @@
     for name in chosen:
         quotas.add_waiting(name)
         quotas.allowed(name, _NEED)
-        quotas.least_waiting()
+        quotas.lowest_share_waiter()
         quotas.remove_waiting(name)
         quotas.charge(name, _NEED)
         quotas.release(name, _NEED)
--- a/src/poplaryard/quota.py
+++ b/src/poplaryard/quota.py
@@ -108,10 +108,10 @@
         used = (self._used + need).dominant_share(self._total)
         if used <= 1.0 - _BORROWING_RESERVE:
             return True
-        least = self.least_waiting()
+        least = self.lowest_share_waiter()
         return least is None or least == team or self.excess_share(least) > 0.0
 
-    def least_waiting(self) -> str | None:
+    def lowest_share_waiter(self) -> str | None:
         """Return the waiting team with the smallest share, if any waits."""
         while self._least_heap:
             share, team = self._least_heap[0]
