--- a/src/poplaryard/backlog.py
+++ b/src/poplaryard/backlog.py
@@ -61,7 +61,7 @@
         # What could not start with the capacity that is free now: lanes, pairs of a
         # lane and a team, and "gangs" for all gangs.
         self._blocked: set[t.Hashable] = set()
-        self._retry_pass = False
+        self._pass_due = False
         self._delayed: list[tuple[float, str]] = []
         self._preempting: OrderedDict[str, Job] = OrderedDict()
         state.on_end = self._on_attempt_end
@@ -137,16 +137,16 @@
         if self._state.room_freed:
             self._state.room_freed = False
             self._blocked.clear()
-            self._retry_pass = True
+            self._pass_due = True
             self._unpark(now)
             self._start_held(now)
         if self._gang_queue:
             self._run_gang_pass(now)
-        if self._retry_pass and len(self._queues):
+        if self._pass_due and len(self._queues):
             self._run_pass(now)
 
     def tick(self, now: float) -> None:
-        """Continue preemptions, drop expired entries and retry all waiting work."""
+        """Continue preemptions, end waits that took too long and retry waiting work."""
         self.preemptor.tick(now)
         self._queues.expire(now)
         self._refuse_waiting(now)
@@ -210,7 +210,7 @@
         self._queues.push(now, entry)
         self._state.quotas.add_waiting(job.work.team)
         if entry.lane not in self._blocked:
-            self._retry_pass = True
+            self._pass_due = True
 
     def _remove(self, now: float, job: Job) -> None:
         if self._queues.remove(job.request_id, now) is not None:
@@ -236,13 +236,13 @@
         return False
 
     def _run_pass(self, now: float) -> None:
-        self._retry_pass = False
+        self._pass_due = False
         for entry in self._queues.candidates(now, PASS_LIMIT):
             # The next pass tries the work behind an entry that has started.
-            self._retry_pass |= self._try_entry(now, entry)
+            self._pass_due |= self._try_entry(now, entry)
 
     def _try_entry(self, now: float, entry: QueueEntry) -> bool:
-        """Place one queued job, or block what cannot start either.
+        """Place one queued job, or block the work that cannot start if it does not fit.
 
         Return True if a task was started or the entry was removed.
         """
--- a/src/poplaryard/capacity.py
+++ b/src/poplaryard/capacity.py
@@ -58,7 +58,7 @@
 
 
 def _need_levels(amount: int, capacity: int) -> tuple[int, int]:
-    """Return the lowest level where a VM may hold `amount`, and where every VM does."""
+    """Return the lowest level where some VM may hold `amount`, and where all can."""
     if not amount:
         return 0, 0
     if not capacity:
@@ -75,7 +75,11 @@
 
 
 class _Grid(t.Generic[V]):
-    """VMs of one class with the same count of free GPUs."""
+    """VMs of one class with the same count of free GPUs.
+
+    The key of a bucket is its CPU level shifted left by 8 bits, or-ed with its memory
+    level.
+    """
 
     __slots__ = ("buckets", "cpu_mask", "mem_masks")
 
@@ -210,15 +214,15 @@
             self._search_orders.clear()
         return vm_class
 
-    def _search_order(self, group: str, gpus: bool) -> list[_VmClass[V]]:
+    def _search_order(self, group: str, needs_gpus: bool) -> list[_VmClass[V]]:
         """Return the classes to search, those with the fewest GPUs first."""
-        order = self._search_orders.get((group, gpus))
+        order = self._search_orders.get((group, needs_gpus))
         if order is None:
             found = [
                 (shape.gpus, shape.cpu_m, shape.mem_mb, name, vm_class)
                 for (name, shape), vm_class in self._classes.items()
-                if group in ("", name) and (shape.gpus or not gpus)
+                if group in ("", name) and (shape.gpus or not needs_gpus)
             ]
             order = [item[-1] for item in sorted(found, key=lambda item: item[:-1])]
-            self._search_orders[group, gpus] = order
+            self._search_orders[group, needs_gpus] = order
         return order
--- a/src/poplaryard/jobs.py
+++ b/src/poplaryard/jobs.py
@@ -19,8 +19,8 @@
     executor : str
         Attempt id of the replica that serves a `REQUEST`.
     sent_at : float
-        Time at which the start was sent; of the first report if an earlier owner sent
-        it.
+        Time at which the start was sent. For an attempt that an earlier owner started,
+        time of the first report of it.
     latest_start : float
         Last time at which the worker may still begin it.
     valid_until_ms : int
--- a/src/poplaryard/lanes.py
+++ b/src/poplaryard/lanes.py
@@ -23,13 +23,13 @@
 
 # One executor slot, counted as a resource.
 SLOT = Resources(cpu_m=1)
-# Declared run times are up to this factor too long. Without the allowance, a sixth of
-# the short work would be classified as long.
+# Largest factor by which a declared run time is assumed to be too long. Without this
+# allowance, a sixth of the short work would be classified as long.
 _DECLARED_ERROR = 3.0
 # Part of the expected run time that must remain before the deadline when work starts.
 _RUN_SHARE = 1.0
 # Limit of that part, as a share of the time from arrival to deadline: work must not be
-# dropped on arrival because its expected run time is too high.
+# dropped on arrival because its run time is overestimated.
 _MAX_RUN_SHARE = 0.5
 
 
@@ -105,9 +105,10 @@
 def lane_of(entry: QueueEntry, short_s: float) -> Lane:
     """Return the lane of an entry by priority, run time, resource pool and need.
 
-    Work is long if the learned run time of its class is long, or if the shortest run
-    time that its declaration allows is. The declaration counts even in a class of short
-    work, because such a class has stragglers.
+    Work is long if the learned run time of its class exceeds `short_s`, or if the
+    declared run time does even when it is `_DECLARED_ERROR` times too long. The
+    declaration counts even in a class of short work, because such a class has
+    stragglers.
     """
     work = entry.work
     learned_s = entry.expected_s if entry.expected_s != work.declared_s else 0.0
--- a/src/poplaryard/queues.py
+++ b/src/poplaryard/queues.py
@@ -122,9 +122,9 @@
     def candidates(self, now: float, limit: int) -> list[QueueEntry]:
         """Return at most `limit` live entries in the order to try them.
 
-        The entries stay queued; the caller removes those that it places, and asks
-        `may_start` before each start. If one does not fit, no other entry with the
-        same `lane` does.
+        An entry is live as long as it can still meet its deadline. The entries stay
+        queued; the caller removes those that it places, and asks `may_start` before
+        each start. If one does not fit, no other entry with the same `lane` does.
         """
         tiers = [key for key in sorted(self._tiers) if self._tiers[key]]
         found: list[QueueEntry] = []
@@ -250,6 +250,7 @@
 
 
 def _next_live(walk: t.Iterator[QueueEntry], now: float) -> QueueEntry | None:
+    """Return the next entry that can still meet its deadline, if any."""
     return next((entry for entry in walk if entry.latest > now), None)
 
 
--- a/src/poplaryard/quota.py
+++ b/src/poplaryard/quota.py
@@ -27,15 +27,15 @@
         self._used = ZERO
         self._waiting: dict[str, int] = {}
         self._active_weight = 0.0
-        self._least_heap: list[tuple[float, str]] = []
+        self._share_heap: list[tuple[float, str]] = []
 
     def configure(self, teams: t.Mapping[str, TeamSpec], total: Resources) -> None:
         """Set the teams and the capacity that they share."""
         self._teams = dict(teams)
         self._total = total
         self._active_weight = sum(self.weight(team) for team in self._active())
-        self._least_heap = [(self.share(team), team) for team in self._waiting]
-        heapq.heapify(self._least_heap)
+        self._share_heap = [(self.share(team), team) for team in self._waiting]
+        heapq.heapify(self._share_heap)
 
     def weight(self, team: str) -> float:
         """Return the weight of a team; 1 if it is not configured."""
@@ -56,17 +56,17 @@
             del self._held[team]
             self._deactivate(team)
         if team in self._waiting:
-            heapq.heappush(self._least_heap, (self.share(team), team))
+            heapq.heappush(self._share_heap, (self.share(team), team))
 
     def add_waiting(self, team: str) -> None:
         """Count one more waiting job of a team."""
         self._activate(team)
         self._waiting[team] = self._waiting.get(team, 0) + 1
         if self._waiting[team] == 1:
-            heapq.heappush(self._least_heap, (self.share(team), team))
+            heapq.heappush(self._share_heap, (self.share(team), team))
 
     def remove_waiting(self, team: str) -> None:
-        """Count one waiting job less of a team."""
+        """Count one waiting job fewer of a team."""
         self._waiting[team] -= 1
         if not self._waiting[team]:
             del self._waiting[team]
@@ -113,14 +113,14 @@
 
     def lowest_share_waiter(self) -> str | None:
         """Return the waiting team with the smallest share, if any waits."""
-        while self._least_heap:
-            share, team = self._least_heap[0]
+        while self._share_heap:
+            share, team = self._share_heap[0]
             current = self.share(team)
             if team in self._waiting and share == current:
                 return team
-            heapq.heappop(self._least_heap)
+            heapq.heappop(self._share_heap)
             if team in self._waiting and share < current:
-                heapq.heappush(self._least_heap, (current, team))
+                heapq.heappush(self._share_heap, (current, team))
         return None
 
     def _active(self) -> list[str]:
--- a/src/poplaryard/reserve.py
+++ b/src/poplaryard/reserve.py
@@ -38,14 +38,14 @@
 class Reserve:
     """Limits on long work in one resource pool (a target or a VM group).
 
-    For long work that cannot be checkpointed, the larger of two shares is kept free:
-    the policy's share for short work, and the recent peak demand of short work with a
-    margin. It may always hold a tenth of the pool. The policy's fixed share alone fails
-    when the demand of short work exceeds it: long work then fills the rest and does not
-    release it for a long time.
-
-    Long work that can be checkpointed may use the rest except for a small free share.
-    It is checkpointed when short work needs that share.
+    Long work that cannot be checkpointed must leave the larger of two shares free: the
+    policy's share for short work, and the recent peak demand of short work with a
+    margin. Such long work may always hold a tenth of the pool. The policy's fixed share
+    alone fails when the demand of short work exceeds it: long work then fills the other
+    capacity and does not release it for a long time.
+
+    Long work that can be checkpointed may use all capacity except for a small free
+    share. It is checkpointed when short work needs that share.
     """
 
     def __init__(self, policy: Policy, total: Resources):
@@ -121,7 +121,10 @@
         return chosen
 
     def _free_share(self) -> float:
-        """Return the free share after waiting short work starts and yielding ends."""
+        """Return the expected free share of the pool.
+
+        Waiting short work counts as started, and yielding work as ended.
+        """
         used = self._held + self._waiting - self._yielding
         return 1.0 - used.dominant_share(self.total)
 
--- a/src/poplaryard/starter.py
+++ b/src/poplaryard/starter.py
@@ -84,8 +84,8 @@
         self._results.ledger.started(now, job.request_id, attempt.attempt_id, task)
         entry = t.cast(QueueEntry, job.entry)
         is_request = job.work.kind is WorkKind.REQUEST
-        held = None if is_request else charge
-        self._queues.started(now, attempt.attempt_id, entry, held)
+        usage = None if is_request else charge
+        self._queues.started(now, attempt.attempt_id, entry, usage)
         self._admission.started(now, job.work)
         self._results.budget.record_attempt(now)
         job.attempts.add(attempt.attempt_id)
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -104,10 +104,11 @@
         return self.authority.exclusive and all_claimed
 
     def excludes_earlier_run(self, now: float, wall: float, work: Work) -> bool:
-        """Return whether no earlier owner can have run work that no worker reports.
+        """Return whether it is certain that no earlier owner has run `work`.
 
-        That holds for ids issued after the current epoch began, and for every id once
-        all workers of the shard were claimed.
+        The result applies to work that no worker reports. It is true for ids issued
+        after the current epoch began, and for every id once all workers of the shard
+        have been claimed.
         """
         owned_since_wall = wall - (now - self.owned_since)
         if work.issued_at > owned_since_wall + SKEW_S:
@@ -125,8 +126,8 @@
             Wall-clock time at which the request's id was issued.
         """
         if self.takeover is None or not self.serves_exclusive():
-            # The work waits until `serves_exclusive`, and is checked again before it
-            # is started.
+            # `Backlog` parks the work until `serves_exclusive` is true, and checks it
+            # again before the start.
             return True
         return self.takeover.may_run_unreported(issued_at)
 
@@ -230,7 +231,7 @@
         return found
 
     def _attempt_id(self) -> str:
-        """Return an id that is unique across processes and restarts, as epochs are."""
+        """Return an attempt id, unique across processes and restarts by its epoch."""
         self._attempt_count += 1
         return f"{self.shard}/{self.authority.epoch}/{self._attempt_count}"
 
