--- a/src/poplaryard/attempts.py
+++ b/src/poplaryard/attempts.py
@@ -13,7 +13,7 @@
 from .services import ReplicaPool
 
 __all__ = [
-    "RESTART_S",
+    "MAX_REPLY_DELAY_S",
     "AttemptTable",
     "MissingAttempts",
     "classify_missing",
@@ -22,7 +22,7 @@
 
 # Longest assumed delay of a reply. If a reply after a longer pause has a smaller clock
 # reading than the one before, the worker was restarted.
-RESTART_S = 10.0
+MAX_REPLY_DELAY_S = 10.0
 
 
 class MissingAttempts(t.NamedTuple):
@@ -54,9 +54,10 @@
     for attempt in attempts:
         if attempt.attempt_id in named:
             continue
-        # The clock of a restarted worker may have begun at zero again.
-        restarted = now > attempt.latest_start + RESTART_S
-        has_ended = restarted or reply.clock_ms > attempt.valid_until_ms
+        # The clock of a restarted worker may have begun at zero again. So an attempt
+        # also counts as ended if its latest start is long past.
+        long_past = now > attempt.latest_start + MAX_REPLY_DELAY_S
+        has_ended = long_past or reply.clock_ms > attempt.valid_until_ms
         (found.lost if has_ended else found.in_doubt).append(attempt)
     return found
 
@@ -149,7 +150,7 @@
         return True
 
     def end(self, attempt_id: str) -> Attempt | None:
-        """Remove an attempt and release its charges; None if it ended before."""
+        """Remove an attempt and release its charges; return None if it had ended."""
         attempt = self._attempts.pop(attempt_id, None)
         if attempt is None:
             return None
--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -1,9 +1,12 @@
-"""Claims of workers, and the handling of their replies and failures."""
+"""Claims of workers, and the handling of their replies and failures.
+
+A claim tells a worker the current epoch of its shard; the reply lists its attempts.
+"""
 
 import typing as t
 from dataclasses import replace
 
-from .attempts import RESTART_S, classify_missing, lost_after
+from .attempts import MAX_REPLY_DELAY_S, classify_missing, lost_after
 from .codes import Code, Outcome
 from .fleet import Vm
 from .health import Health
@@ -102,7 +105,8 @@
         known = msg.vm.name in self._state.fleet.vms
         vm = self._state.fleet.update(msg.vm)
         self._health.add(vm)
-        # Before the claim below, since the take-over may delay the claim of a new VM.
+        # The take-over gets the message before the claim below is sent, since it may
+        # delay the claim of a new VM.
         self.forward_to_takeover(now, msg)
         returned = vm.name in self._gone
         self._gone.discard(vm.name)
@@ -323,7 +327,7 @@
 
     An outdated reply may name attempts that have ended, and lack those started since.
     """
-    if now > vm.clock_at + RESTART_S:
+    if now > vm.clock_at + MAX_REPLY_DELAY_S:
         return False
     if isinstance(reply, ClaimReply) and vm.clock_at > vm.claim_sent_at:
         return reply.clock_ms <= vm.clock_ms
--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -69,7 +69,7 @@
     def __init__(self, state: ShardState, estimator: Estimator):
         self._state = state
         self._estimator = estimator
-        # By whether the gang needs GPUs.
+        # Key: whether the gang needs GPUs.
         self._reserved: dict[bool, Reservation] = {}
 
     def max_parallel(self, need: Resources, group: str) -> int:
@@ -78,7 +78,10 @@
         return sum(count_fits(need, shape) * count for shape, count in shapes.items())
 
     def hold_all(self, job: Job, need: Resources) -> bool:
-        """Hold room that is free now for all pending tasks or none; False if none."""
+        """Hold room for all pending tasks if it is free now, or hold nothing.
+
+        Return whether the room is held.
+        """
         fleet, group = self._state.fleet, job.work.group
         if fleet.index.max_tasks(need, group) < len(job.pending):
             return False
@@ -116,7 +119,7 @@
         for key, reservation in list(self._reserved.items()):
             job = reservation.job
             if not job.held:
-                # Answered or cancelled.
+                # The gang was answered or cancelled.
                 del self._reserved[key]
             elif self._make_ready(now, reservation):
                 del self._reserved[key]
@@ -150,7 +153,7 @@
         return None
 
     def _make_ready(self, now: float, reservation: Reservation) -> bool:
-        """Move holds to better VMs; return whether all tasks have free room now."""
+        """Move holds to VMs with free room; return whether every task has room."""
         job, vms = reservation.job, self._state.fleet.vms
         planned = len(job.held) == len(job.pending)
         blocked = vms.get(reservation.waits_for)
@@ -159,14 +162,14 @@
             index, need = self._state.fleet.index, reservation.need
             if not late and index.best_fit(need, job.work.group) is None:
                 return False
-        self._move(job, reservation.need)
+        self._move_holds(job, reservation.need)
         self._replan(now, reservation)
         waiting = [name for name in job.held.values() if not _has_room(vms[name])]
         reservation.waits_for = waiting[0] if waiting else ""
         return len(job.held) == len(job.pending) and not waiting
 
-    def _move(self, job: Job, need: Resources) -> None:
-        """Replace holds on room that is not free by holds on room that is."""
+    def _move_holds(self, job: Job, need: Resources) -> None:
+        """Move the holds whose room is not free yet to VMs that have free room."""
         fleet = self._state.fleet
         waiting = [
             task for task, name in job.held.items() if not _has_room(fleet.vms[name])
@@ -223,7 +226,7 @@
     def _vm_options(self, now: float, vm: Vm, need: Resources) -> list[_Option]:
         """Return how many tasks fit on a VM now, and when its tasks have ended."""
         at_once = count_fits(need, vm.free)
-        ending = [a for a in self._state.attempts.on_vm(vm) if _is_finite(a)]
+        ending = [a for a in self._state.attempts.on_vm(vm) if _runs_to_completion(a)]
         room = sum((vm.charges[a.attempt_id] for a in ending), vm.free)
         later = count_fits(need, room) - at_once
         found = []
@@ -247,7 +250,7 @@
         return now + elapsed_s
 
 
-def _is_finite(attempt: Attempt) -> bool:
+def _runs_to_completion(attempt: Attempt) -> bool:
     return attempt.work.kind in (WorkKind.BATCH, WorkKind.GANG)
 
 
--- a/src/poplaryard/links.py
+++ b/src/poplaryard/links.py
@@ -84,10 +84,13 @@
     Parameters
     ----------
     vm, address : str
+        Name of the VM and address of its worker.
     workers : Workers
+        Client for the calls to the worker.
     post : callable
         Called with the messages for the shard.
     authority : CurrentAuthority
+        Authority of this process over the shard.
     """
 
     def __init__(
--- a/src/poplaryard/shards.py
+++ b/src/poplaryard/shards.py
@@ -56,12 +56,16 @@
     Parameters
     ----------
     shard, process : str
+        Name of the shard and id of this process.
     workers : Workers
+        Client for the calls to the workers.
     deliver : callable
         Called with a process id and the answer to send to it.
     notice : callable
         Called with audit events, and with `EpochRefused` when a worker knows a higher
         epoch.
+    rng : random.Random
+        Source of randomness.
     holds_lease : callable
         Returns whether this process holds its store lease, and so may claim new VMs.
 
@@ -122,7 +126,8 @@
         vms : iterable of str
             Names of the shard's VMs as this process knows them.
         listed_since : float
-            Wall-clock time since which no VM is known to have left the shard.
+            Wall-clock time since which this process has known the VMs of the shard
+            without a gap, and none of them has left.
         """
         now = _clock.now()
         self._takeover = Takeover(
--- a/tests/shard.py
+++ b/tests/shard.py
@@ -29,7 +29,11 @@
 
 
 class Shard:
-    """Scheduler together with workers that answer claims and starts at once."""
+    """Scheduler together with workers that answer claims and starts at once.
+
+    Starts are answered with `start_code`, or not at all if it is None. Claims are not
+    answered while `claimable` is false.
+    """
 
     def __init__(self, config=None, until=1000.0):
         self.scheduler = ShardScheduler("dc1/0", "p1", random.Random(1))
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -25,7 +25,7 @@
     assert sorted(racks) == ["dc1-r0", "dc1-r0", "dc1-r1", "dc1-r1"]
 
 
-def test_replica_without_gpu_need_avoids_gpu_vms():
+def test_batch_work_without_gpu_need_avoids_gpu_vms():
     config = batch_config(vms=1)
     gpu_vm = vm_spec(7, rack="empty", capacity=SHAPES[1])
     shard = Shard(config)
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -231,7 +231,7 @@
 
 
 def test_vms_that_follow_the_authority_are_claimed_before_exclusive_work_starts():
-    """Guards against all replicas on the first VM, and exclusive work too early.
+    """Guards against starting all replicas on one VM, and exclusive work too early.
 
     A scheduler that counts only the VMs announced before its authority takes the first
     claim reply for the last one.
--- a/tests/test_shards.py
+++ b/tests/test_shards.py
@@ -44,7 +44,7 @@
         self.delivered, self.notices = [], []
 
         async def run():
-            deliver = lambda target, msg: self.delivered.append((target, msg))  # noqa: E731
+            deliver = lambda process, msg: self.delivered.append((process, msg))  # noqa: E731
             task = ShardTask(
                 "dc1/0",
                 "p#1",
@@ -80,7 +80,7 @@
             task.submit(self.submit("r1", "p#1", payload=payload))
             task.submit(self.submit("r1", "q#1", payload=payload), again=True)
             await self.until(lambda: len(self.delivered) == 2)
-            self.assertEqual({"p#1", "q#1"}, {target for target, _ in self.delivered})
+            self.assertEqual({"p#1", "q#1"}, {process for process, _ in self.delivered})
             self.assertEqual([7, 7], [m.parts[0]["echo"] for _, m in self.delivered])
             self.assertEqual(0, task.in_progress)
             self.assertIn("answered", task.look_up("r1", "x#1"))
@@ -114,7 +114,7 @@
             task.submit(self.submit("r1", "p#1", payload={"run_ms": 50}))
             task.submit(self.submit("r1", "q#1", payload={"run_ms": 51}))
             await self.until(lambda: "p#1" in dict(self.delivered))
-            codes = {target: msg.code for target, msg in reversed(self.delivered)}
+            codes = {process: msg.code for process, msg in reversed(self.delivered)}
             expected = {"p#1": Code.OK, "q#1": Code.DUPLICATE_MISMATCH}
             self.assertEqual(expected, codes)
 
