--- a/src/poplaryard/workload/advice.py
+++ b/src/poplaryard/workload/advice.py
@@ -12,13 +12,13 @@
 from ..exceptions import PoplaryardError
 from ..logs import logger
 
-__all__ = ["SLOW_S", "Advisor", "Channel", "ChannelPool", "LocalAdvisor"]
+__all__ = ["SLOW_CALL_S", "Advisor", "Channel", "ChannelPool", "LocalAdvisor"]
 
 # Calls expected to take longer than this are slow, in seconds. Quick calls are made
 # for short tasks, where a delay of 0.1 s is noticeable to the caller.
-SLOW_S = 0.1
+SLOW_CALL_S = 0.1
 # Maximum number of quick calls in progress on a channel.
-QUICK_CALLS = 3
+MAX_QUICK_CALLS = 3
 # Time without quick calls after which a process with usable peers makes slow calls
 # through its own channel too, in seconds.
 QUICK_IDLE_S = 5.0
@@ -59,7 +59,7 @@
         self, step: str, workers: list[str], timeout_s: float, slow: bool = False
     ) -> tuple[dict[str, str], float] | None:
         """Return tickets by worker and their validity in seconds; None if refused."""
-        if self._slow_calls or (slow and self._quick_calls > QUICK_CALLS):
+        if self._slow_calls or (slow and self._quick_calls > MAX_QUICK_CALLS):
             return None
         self._slow_calls += slow
         self._quick_calls += not slow
@@ -178,7 +178,7 @@
             channel
             for channel in channels
             if not channel.slow_calls
-            and channel.quick_calls < QUICK_CALLS
+            and channel.quick_calls < MAX_QUICK_CALLS
             and now >= channel.paused_until
         ]
         # Prefers the local channel: a peer adds a network round trip.
@@ -207,7 +207,7 @@
         cost_s : float
             Expected duration of the call in seconds.
         """
-        slow = cost_s > SLOW_S
+        slow = cost_s > SLOW_CALL_S
         timeout_s = cost_s * (1 + channel.quick_calls) + TIMEOUT_SLACK_S
         answer = None
         pause_s = BUSY_PAUSE_S
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -14,7 +14,7 @@
 from ..exceptions import LeaseLost, StoreDown, StoreReplyLost, WorkerUnreachable
 from ..logs import logger
 from . import records
-from .advice import SLOW_S, Channel, ChannelPool
+from .advice import SLOW_CALL_S, Channel, ChannelPool
 from .membership import GRACE_S, LEASE_TTL_S, ProcessLease
 from .meters import Meters
 from .model import (
@@ -33,44 +33,44 @@
 __all__ = ["GroupOwner", "OwnerLimits", "WorkerCalls"]
 
 # Longest time between two scheduling passes, in seconds.
-TICK_S = 0.1
+MAX_PASS_INTERVAL_S = 0.1
 # Shortest pause between two scheduling passes, in seconds, and as a multiple of the
 # duration of the last pass. Events that arrive in the pause are handled together.
 # Without it, passes would leave no time to renew leases under a backlog.
-LOOK_GAP_S = 0.005
-LOOK_GAP_SHARE = 3.0
+MIN_PASS_PAUSE_S = 0.005
+PASS_PAUSE_FACTOR = 3.0
 # Ends of runs that do not end their job are collected for this long before they are
 # written, in seconds. A worker reports an end again until it is written and
 # acknowledged, so lease renewals pause in the meantime.
-NOTE_DELAY_S = 0.04
+PROGRESS_WRITE_DELAY_S = 0.04
 # Longest time for which the lease renewals of a worker pause until the ends that it
 # reported are written, in seconds.
-ENDS_KEPT_S = 0.25
+MAX_RENEWAL_PAUSE_S = 0.25
 # Most entries of one transaction, and those that `GroupOwner` adds to each: the
 # expected claim, the expected sequence key and the new sequence key.
-TRANSACTION_ENTRIES = 32
-ORDER_ENTRIES = 3
+MAX_TRANSACTION_ENTRIES = 32
+OVERHEAD_ENTRIES = 3
 # Time within which a start must reach its worker, in seconds. The worker refuses a
 # later one, so that a delayed order does not start a run unexpectedly.
 START_WINDOW_S = 1.6
 # Pause after a failed lease renewal or a failed write, in seconds.
-HOLD_RETRY_S = 0.15
+RETRY_PAUSE_S = 0.15
 # Longest time that a worker may delay its answer to a renewal until a run ends, in
 # seconds.
-HOLD_WAIT_S = 1.0
+RENEWAL_WAIT_S = 1.0
 # Time that finished jobs stay in the store beyond `OwnerLimits.retention_s`, and time
 # between two removals, in seconds.
-FORGET_SLACK_S = 30.0
-FORGET_EVERY_S = 15.0
+RETENTION_SLACK_S = 30.0
+REMOVAL_PERIOD_S = 15.0
 # Time between two reads of new jobs and cancellations, in seconds. Processes also
 # notify the owner of the jobs that they store; the watch covers lost notifications.
-JOBS_BATCH_S = 0.1
+JOBS_READ_PERIOD_S = 0.1
 # Time between two log lines on the state of a group, in seconds.
 SUMMARY_EVERY_S = 2.0
 # Time between two updates of the stored list of workers, in seconds.
-PRUNE_EVERY_S = 1.0
+WORKERS_UPDATE_PERIOD_S = 1.0
 # Jobs removed in one transaction; each has three keys.
-FORGET_BATCH = 10
+REMOVAL_BATCH_JOBS = 10
 
 
 class WorkerCalls(t.Protocol):
@@ -227,8 +227,8 @@
         self._stored_workers: dict[str, Suspect] = {}
         self._starts_in_flight = 0
         self._next_summary_at = clock.now() + SUMMARY_EVERY_S
-        self._next_prune_at = clock.now() + PRUNE_EVERY_S
-        self._next_removal_at = clock.now() + FORGET_EVERY_S
+        self._next_prune_at = clock.now() + WORKERS_UPDATE_PERIOD_S
+        self._next_removal_at = clock.now() + REMOVAL_PERIOD_S
         self.partition: Partition | None = None
         self.loaded = False
 
@@ -264,7 +264,7 @@
             self._storage,
             records.job_prefix(self.group),
             self._job_changed,
-            pause_s=JOBS_BATCH_S,
+            pause_s=JOBS_READ_PERIOD_S,
         )
         await watch.reload()
         self._stored_progress.clear()
@@ -353,7 +353,7 @@
         partition = t.cast(Partition, self.partition)
         while partition.is_watched(worker, self._clock.now()):
             if not self._lease.has_authority():
-                await asyncio.sleep(HOLD_RETRY_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             sent_at = self._clock.now()
             reachable = worker.reachable
@@ -362,7 +362,7 @@
                 deadline = worker.clock_now(sent_at) + self._limits.run_lease_s
                 worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
             acked = worker.acked_seq
-            wait_s = HOLD_WAIT_S if reachable and worker.synced else 0.0
+            wait_s = RENEWAL_WAIT_S if reachable and worker.synced else 0.0
             try:
                 report = await self._calls.hold(
                     worker.info, self.revision, acked, deadline, wait_s
@@ -376,7 +376,7 @@
                     fenced=exc.fenced,
                 )
                 self._wake.set()
-                await asyncio.sleep(HOLD_RETRY_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             partition.hold_answered(worker, report, sent_at, self._clock.now())
             if worker.listed and not self._stored_unrestricted(worker.worker_id):
@@ -387,13 +387,13 @@
         logger.info("worker dropped", extra={"worker": worker.worker_id})
 
     async def _wait_for_write(self) -> None:
-        """Wait until reported ends are written, for at most `ENDS_KEPT_S` seconds.
+        """Wait until reported ends are written, at most `MAX_RENEWAL_PAUSE_S` seconds.
 
         A worker with unacknowledged ends answers a renewal at once, so renewing again
         before that would loop without waiting.
         """
         try:
-            await asyncio.wait_for(self._progress_written.wait(), ENDS_KEPT_S)
+            await asyncio.wait_for(self._progress_written.wait(), MAX_RENEWAL_PAUSE_S)
         except TimeoutError:
             return
 
@@ -420,7 +420,7 @@
         """
         while not all(map(self._stored_unrestricted, added)):
             if not await self._write_workers(added):
-                await asyncio.sleep(HOLD_RETRY_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
 
     async def _update_workers(self) -> None:
         """Update the stored workers: add those that came back, remove those gone.
@@ -468,10 +468,10 @@
                 self.abandon()
                 return
             took_s = self._clock.now() - now
-            await asyncio.sleep(max(LOOK_GAP_S, LOOK_GAP_SHARE * took_s))
+            await asyncio.sleep(max(MIN_PASS_PAUSE_S, PASS_PAUSE_FACTOR * took_s))
             self._wake.clear()
             try:
-                await asyncio.wait_for(self._wake.wait(), TICK_S)
+                await asyncio.wait_for(self._wake.wait(), MAX_PASS_INTERVAL_S)
             except TimeoutError:
                 continue
 
@@ -524,10 +524,10 @@
         }
 
         def has_channel(cost_s: float) -> bool:
-            return channels[cost_s > SLOW_S] is not None
+            return channels[cost_s > SLOW_CALL_S] is not None
 
         for request in partition.advice_wanted(now, has_channel):
-            slow = request.cost_s > SLOW_S
+            slow = request.cost_s > SLOW_CALL_S
             channel = t.cast(Channel, channels[slow])
             self._channels.acquire(channel, slow, now)
             task = self._spawn(self._advise(channel, request))
@@ -636,7 +636,7 @@
                 await self._wait_for_urgent_progress()
             now = self._clock.now()
             if partition.has_unwritten_progress and not await self._write_progress():
-                await asyncio.sleep(HOLD_RETRY_S)
+                await asyncio.sleep(RETRY_PAUSE_S)
             if now >= self._next_summary_at:
                 self._next_summary_at = now + SUMMARY_EVERY_S
                 figures = partition.summary(now)
@@ -645,17 +645,17 @@
                     labels = {"group": self.group, "figure": name}
                     self._meters.set("poplaryard_group", labels, value)
             if now >= self._next_prune_at:
-                self._next_prune_at = now + PRUNE_EVERY_S
+                self._next_prune_at = now + WORKERS_UPDATE_PERIOD_S
                 await self._update_workers()
             if now >= self._next_removal_at:
-                self._next_removal_at = now + FORGET_EVERY_S
+                self._next_removal_at = now + REMOVAL_PERIOD_S
                 await self._remove_finished()
 
     async def _wait_for_urgent_progress(self) -> None:
-        """Wait for urgent progress, for at most `NOTE_DELAY_S` seconds."""
+        """Wait for urgent progress, for at most `PROGRESS_WRITE_DELAY_S` seconds."""
         self._write_wake.clear()
         try:
-            await asyncio.wait_for(self._write_wake.wait(), NOTE_DELAY_S)
+            await asyncio.wait_for(self._write_wake.wait(), PROGRESS_WRITE_DELAY_S)
         except TimeoutError:
             return
 
@@ -673,7 +673,7 @@
             (records.progress_key(self.group, job_id), value, 0)
             for job_id, value in batch.progress.items()
         ]
-        size = TRANSACTION_ENTRIES - ORDER_ENTRIES
+        size = MAX_TRANSACTION_ENTRIES - OVERHEAD_ENTRIES
         for begin in range(0, len(entries), size):
             transaction = self._new_transaction()
             transaction.puts = entries[begin : begin + size]
@@ -689,11 +689,11 @@
     async def _remove_finished(self) -> None:
         """Remove jobs whose retention time has passed from the store."""
         partition = t.cast(Partition, self.partition)
-        before = self._clock.wall() - self._limits.retention_s - FORGET_SLACK_S
+        before = self._clock.wall() - self._limits.retention_s - RETENTION_SLACK_S
         expired = partition.forget_finished(before)
-        for begin in range(0, len(expired), FORGET_BATCH):
+        for begin in range(0, len(expired), REMOVAL_BATCH_JOBS):
             transaction = self._new_transaction()
-            for job_id in expired[begin : begin + FORGET_BATCH]:
+            for job_id in expired[begin : begin + REMOVAL_BATCH_JOBS]:
                 transaction.removes += [
                     records.job_key(self.group, job_id),
                     records.cancel_key(self.group, job_id),
