--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -31,17 +31,17 @@
 PEER_TIMEOUT_S = 0.4
 # Delay before a claim for each group that the process owns already, and pause after a
 # failed claim, in seconds. Other processes claim meanwhile, which spreads the groups.
-CLAIM_STEP_S = 0.15
+CLAIM_DELAY_PER_GROUP_S = 0.15
 # Delay before a claim of a process of strength 0, in seconds, so that stronger ones
 # claim first. A claim takes about 10 ms, and peers see it through their watches about
 # 10 ms later.
-WEAK_DELAY_S = 0.3
+WEAK_CLAIM_DELAY_S = 0.3
 # Bandwidth that is ample for an owner, in Mbit/s. The owner of 126 workers saturates a
 # link of 5 Mbit/s; the larger of the users' entry VMs have 100 Mbit/s.
 STRONG_LINK_MBPS = 100.0
 # Ratio of strengths from which a group is handed to a process that owns none. A change
 # of owner costs about 0.2 s in which nothing is started.
-STRONGER = 2.0
+HAND_OVER_STRENGTH_RATIO = 2.0
 # Pause between two reads of the watch on workers, in seconds. Workers write heartbeats
 # under the watched keys, and those of one pause are read together.
 HEARTBEAT_BATCH_S = 0.25
@@ -51,7 +51,7 @@
 HAND_OVER_RETRY_S = 0.2
 # Timeout of the call that ends the lease of a stopping process, in seconds. Without an
 # answer the lease expires by itself.
-END_LEASE_S = 0.5
+END_LEASE_TIMEOUT_S = 0.5
 # Time between two checks whether the data centre is isolated, in seconds, and number
 # of peers in other data centres that a check calls.
 ISOLATION_CHECK_S = 0.4
@@ -285,7 +285,7 @@
         for task in self._ownership_tasks:
             task.cancel()
         try:
-            await asyncio.wait_for(self._lease.end(), END_LEASE_S)
+            await asyncio.wait_for(self._lease.end(), END_LEASE_TIMEOUT_S)
         except TimeoutError:
             logger.warning("lease not ended", extra={"reason": "no answer in time"})
         self._lease.drop()
@@ -613,7 +613,9 @@
 
     def _claim_delay(self) -> float:
         """Return the delay that lets less loaded or stronger processes claim first."""
-        return CLAIM_STEP_S * len(self.owners) + WEAK_DELAY_S * (1 - self.cfg.strength)
+        return CLAIM_DELAY_PER_GROUP_S * len(self.owners) + WEAK_CLAIM_DELAY_S * (
+            1 - self.cfg.strength
+        )
 
     async def _hand_over_to_stronger(self) -> None:
         """Give one group up if a much stronger process owns none.
@@ -627,7 +629,7 @@
             for name, member in self._members.items()
             if name not in owners
         ]
-        if not idle or max(idle) < STRONGER * self.cfg.strength:
+        if not idle or max(idle) < HAND_OVER_STRENGTH_RATIO * self.cfg.strength:
             return
         for group, owner in list(self.owners.items()):
             if not owner.loaded or not self._lease.has_lease():
@@ -661,10 +663,10 @@
         except (StoreDown, StoreReplyLost) as exc:
             extra = {"group": group, "reason": exc.detail}
             logger.warning("claim failed", extra=extra)
-            await asyncio.sleep(CLAIM_STEP_S)
+            await asyncio.sleep(CLAIM_DELAY_PER_GROUP_S)
             return
         if not isinstance(result, int):
-            await asyncio.sleep(CLAIM_STEP_S)
+            await asyncio.sleep(CLAIM_DELAY_PER_GROUP_S)
             return
         await self._take_over(group, claim, result)
 
@@ -697,7 +699,7 @@
             extra = {"group": group, "reason": exc.detail}
             logger.warning("jobs could not be loaded", extra=extra)
             self._drop_group(group)
-            await asyncio.sleep(CLAIM_STEP_S)
+            await asyncio.sleep(CLAIM_DELAY_PER_GROUP_S)
             return
         for worker_id, info in list(self._workers.items()):
             if info.group == group and worker_id not in workers:
--- a/src/poplaryard/workload/runtime.py
+++ b/src/poplaryard/workload/runtime.py
@@ -14,24 +14,24 @@
 # A job that misses its objective by more than this many times the objective is of no
 # use to its caller: the users' requirements accept results within three times the
 # objective.
-LATE_FACTOR = 2.0
+MAX_LATENESS_FACTOR = 2.0
 # Added to the time at which a worker's leases must have expired, in seconds: the worker
 # checks its leases, and reports the ended runs, slightly later.
 LAPSE_SLACK_S = 0.5
 # Minimum progress, in percentage points, for a run's end to be extrapolated from its
 # speed. Workers report whole percentages, so the speed is too inaccurate before; the
 # end is then computed from the estimate.
-LEAST_PROGRESS = 5
+MIN_PROGRESS_PERCENT = 5
 
 
 # Weight of one run in the moving average of its worker's slowness, and the limit of its
 # deviation (a logarithm): run times within a step vary by about a sixth, and some are
 # seven times as long.
-SLOWNESS_SHARE = 0.15
-SLOWNESS_STEP_MAX = 1.0
+SLOWNESS_WEIGHT = 0.15
+MAX_SLOWNESS_DEVIATION = 1.0
 # Minimum run time that enters the mean, in seconds; shorter ones are raised to it. They
 # consist mostly of the time of the calls to the worker.
-LEAST_RUN_S = 0.05
+MIN_RUN_S = 0.05
 
 
 class RunPhase(enum.Enum):
@@ -217,7 +217,7 @@
         if spec.lasting:
             return float("inf")
         progress = self.percent - self.first_percent
-        if progress >= LEAST_PROGRESS:
+        if progress >= MIN_PROGRESS_PERCENT:
             elapsed_s = self.seen_at - self.confirmed_at
             return self.seen_at + elapsed_s * (100 - self.percent) / progress
         return now + max(0.0, self.sent_at + spec.estimate_s - now)
@@ -263,11 +263,11 @@
         The tasks of a step are identical. Comparing them with each other, not with the
         estimate, keeps errors of the estimate out of the workers' slowness.
         """
-        log_s = math.log(max(run_s, LEAST_RUN_S))
+        log_s = math.log(max(run_s, MIN_RUN_S))
         if self.count:
             error = log_s - self.mean - worker.slowness
-            error = max(-SLOWNESS_STEP_MAX, min(SLOWNESS_STEP_MAX, error))
-            worker.slowness += SLOWNESS_SHARE * error
+            error = max(-MAX_SLOWNESS_DEVIATION, min(MAX_SLOWNESS_DEVIATION, error))
+            worker.slowness += SLOWNESS_WEIGHT * error
         self.count += 1
         self.mean += (log_s - worker.slowness - self.mean) / self.count
 
@@ -415,7 +415,10 @@
         """
         if now + remaining_s <= self.due_at:
             lateness = 0
-        elif now + remaining_s <= self.due_at + LATE_FACTOR * self.spec.objective_s():
+        elif (
+            now + remaining_s
+            <= self.due_at + MAX_LATENESS_FACTOR * self.spec.objective_s()
+        ):
             lateness = 1
         else:
             lateness = 2
