--- a/src/poplaryard/workload/advising.py
+++ b/src/poplaryard/workload/advising.py
@@ -30,17 +30,17 @@
 # Number of gangs that may request advice before any worker has room. Room is only
 # reserved for a gang on workers that it may use, but each such gang delays the calls
 # for other steps.
-GANGS_AHEAD = 6
+MAX_GANGS_AHEAD = 6
 # Number of tasks that the workers named in a call should have room for, per unfinished
 # task of the step: as few as a third of the workers may be permitted.
 PLACES_PER_TASK = 4
 # Minimum number of workers in a call, as some of them may not be permitted.
-LEAST_NAMES = 8
+ADVICE_MIN_WORKERS = 8
 # Room that runs release within this many seconds is counted in the group's total, which
 # is checked before any single worker.
-FAR_AHEAD_S = 1.5
+RELEASE_HORIZON_S = 1.5
 # Time for which the computed ends of runs are cached, in seconds.
-ENDS_FRESH_S = 0.1
+RUN_ENDS_CACHE_S = 0.1
 # Pause before the next call for a step after a failed one, in seconds.
 ADVICE_RETRY_S = 0.02
 
@@ -114,14 +114,14 @@
         }
         room_left = sum(rooms.values(), ZERO)
         for worker in rooms:
-            room_left = room_left + self._ending_room(worker, FAR_AHEAD_S, now)
+            room_left = room_left + self._ending_room(worker, RELEASE_HORIZON_S, now)
         gangs = 0
         for step in [*self._waiting, *self._steps_ahead(now)]:
             advice = step.job.spec.advice
             if advice is None:
                 continue
             gangs += step.spec.gang
-            may_ask_early = step.spec.gang and gangs <= GANGS_AHEAD
+            may_ask_early = step.spec.gang and gangs <= MAX_GANGS_AHEAD
             if now < step.ask_after or not (
                 may_ask_early or step.need.fits_in(room_left)
             ):
@@ -174,7 +174,7 @@
 
     def _ending_room(self, worker: Worker, within_s: float, now: float) -> Resources:
         """Return the room that a worker's runs are expected to release (cached)."""
-        if now > self._ending_rooms_at + ENDS_FRESH_S:
+        if now > self._ending_rooms_at + RUN_ENDS_CACHE_S:
             self._ending_rooms.clear()
             self._ending_rooms_at = now
         key = worker, within_s
@@ -259,7 +259,7 @@
             # Naming this many workers takes as long as the fixed part of the call.
             cheap_count = advice.base_s / max(advice.per_worker_s, 1e-6)
             count = int(max(PLACES_PER_TASK * step.remaining, cheap_count))
-        count = min(max(count, LEAST_NAMES), ADVICE_MAX_WORKERS)
+        count = min(max(count, ADVICE_MIN_WORKERS), ADVICE_MAX_WORKERS)
         named = [worker.worker_id for worker in approved + unasked][:count]
         cost_s = advice.base_s + advice.per_worker_s * len(named)
         return AdviceRequest(step, tuple(named), cost_s)
--- a/src/poplaryard/workload/jobtable.py
+++ b/src/poplaryard/workload/jobtable.py
@@ -15,16 +15,16 @@
 
 # Run numbers that a new owner skips after the highest stored one: starts are not
 # written to the store, so the earlier owner may have used higher numbers.
-RUN_GAP = 16
+RUN_NUMBERS_SKIPPED = 16
 # A job is starved once none of its tasks has run for this many seconds while less than
 # this share of the group's capacity is in use. By the users' requirements, a job that
 # gets nothing for three seconds while half of the group is idle counts as lost.
 # Urgent steps that wait for room or advice would block a starved job. It therefore
 # comes first, and may use room that was reserved for too long.
-STARVED_S = 1.5
-IDLE_SHARE = 0.55
+STARVED_AFTER_S = 1.5
+STARVED_BUSY_SHARE = 0.55
 # Replaces the priority of a starved job; comes before the most urgent priority, 0.
-STARVED_RANK = -1
+STARVED_PRIORITY = -1
 # Maximum number of cancellations kept for jobs that this owner does not know yet: a job
 # and its cancellation can be announced by different processes, in any order.
 MAX_CANCELLED_EARLY = 1000
@@ -183,7 +183,7 @@
 
     def _open_occurrence(self, job: JobRun, number: int) -> None:
         steps = []
-        base_run = 0 if job.fresh else job.progress.run + RUN_GAP
+        base_run = 0 if job.fresh else job.progress.run + RUN_NUMBERS_SKIPPED
         for index, spec in enumerate(job.spec.steps):
             step = StepRun(job, number, index, spec)
             done = set(job.progress.done.get(step.key, ()))
@@ -299,12 +299,12 @@
         for step in steps:
             step.rank = step.job.rank(step.critical_path_s, now)
             step.starved = (
-                busy < IDLE_SHARE
-                and now > step.job.active_at + STARVED_S
+                busy < STARVED_BUSY_SHARE
+                and now > step.job.active_at + STARVED_AFTER_S
                 and step.job.idle()
             )
             if step.starved:
-                step.rank = STARVED_RANK, *step.rank[1:]
+                step.rank = STARVED_PRIORITY, *step.rank[1:]
         steps.sort(key=lambda step: step.rank)
         return steps
 
--- a/src/poplaryard/workload/partition.py
+++ b/src/poplaryard/workload/partition.py
@@ -24,20 +24,21 @@
 
 # Time after which an unanswered order is no longer carried out, in seconds: the
 # platform documents a delay of up to 12.
-LATE_ORDER_S = 12.5
+MAX_ORDER_DELAY_S = 12.5
 # Time after which an order to stop a run is repeated, in seconds.
 STOP_RETRY_S = 0.6
 # Time without starts on a worker after a start that was refused or failed, in seconds.
-REFUSED_PAUSE_S = 0.5
+FAILED_START_PAUSE_S = 0.5
 # A run has stalled if its percentage has not changed for this many seconds plus this
 # share of its estimate. The share is there because workers report whole percentages,
 # which change slowly in long runs.
 STALL_S = 2.5
 STALL_SHARE = 0.03
-# A run is a straggler if it has taken at least `COPY_AFTER` times its estimate and is
-# expected to take more than `COPY_GAIN` times the estimate from now on.
-COPY_AFTER = 0.6
-COPY_GAIN = 1.3
+# A run is a straggler if it has taken at least `STRAGGLER_ELAPSED_FACTOR` times its
+# estimate and is expected to take more than `STRAGGLER_REMAINING_FACTOR` times the
+# estimate from now on.
+STRAGGLER_ELAPSED_FACTOR = 0.6
+STRAGGLER_REMAINING_FACTOR = 1.3
 # A speculative task is copied if its worker has not reported for this long, in seconds;
 # other tasks wait until their leases have expired. Workers report every second.
 COPY_SILENT_S = 1.8
@@ -46,9 +47,9 @@
 # Maximum number of searches for room to reserve per round: each scans all workers.
 MAX_PLAN_SEARCHES = 8
 # Time between two searches for stragglers, in seconds.
-COPY_EVERY_S = 0.25
+STRAGGLER_SEARCH_PERIOD_S = 0.25
 # Share of a worker's capacity from which a task counts as large.
-LARGE_SHARE = 0.25
+LARGE_TASK_SHARE = 0.25
 
 
 def _most_free(workers: t.Iterable[Worker]) -> Resources:
@@ -77,7 +78,8 @@
 def _is_large(step: StepRun, capacities: t.Iterable[Resources]) -> bool:
     """Return whether a step rarely fits into the gaps that small tasks leave."""
     return step.spec.gang or any(
-        step.need.dominant_share(capacity) >= LARGE_SHARE for capacity in capacities
+        step.need.dominant_share(capacity) >= LARGE_TASK_SHARE
+        for capacity in capacities
     )
 
 
@@ -118,7 +120,7 @@
                 self._plan_room(step, now)
             self._log_starts(step, orders_before, now)
         if now >= self._next_copy_check_at:
-            self._next_copy_check_at = now + COPY_EVERY_S
+            self._next_copy_check_at = now + STRAGGLER_SEARCH_PERIOD_S
             self._copy_stragglers(usable, now)
 
     def _start_step(self, step: StepRun, usable: dict[str, Worker], now: float) -> bool:
@@ -145,7 +147,7 @@
     def _start(self, task: Task, worker: Worker, number: int, now: float) -> None:
         step = task.step
         run = Run(task, number, worker, step.need, now)
-        run.expires_at = now + LATE_ORDER_S
+        run.expires_at = now + MAX_ORDER_DELAY_S
         run.from_start = not task.checkpoint
         task.last_run_number = number
         task.runs.append(run)
@@ -201,9 +203,9 @@
         elif outcome is StartOutcome.WRONG_INSTANCE:
             self._mark_gone(worker, "another instance answered", now)
         elif outcome is StartOutcome.INVALID:
-            task.not_before = now + REFUSED_PAUSE_S
+            task.not_before = now + FAILED_START_PAUSE_S
         elif outcome is not StartOutcome.OLD_RUN:
-            worker.paused_until = max(worker.paused_until, now + REFUSED_PAUSE_S)
+            worker.paused_until = max(worker.paused_until, now + FAILED_START_PAUSE_S)
         if task.step.spec.gang:
             self._stop_gang(task, run.number, now)
 
@@ -277,12 +279,12 @@
             return False
         if not run.worker.reachable:
             return now - run.worker.clock_at > COPY_SILENT_S
-        if elapsed_s < COPY_AFTER * estimate_s:
+        if elapsed_s < STRAGGLER_ELAPSED_FACTOR * estimate_s:
             return False
         if run.percent < 1:
-            return elapsed_s > 2 * COPY_AFTER * estimate_s
+            return elapsed_s > 2 * STRAGGLER_ELAPSED_FACTOR * estimate_s
         left_s = elapsed_s * (100 - run.percent) / run.percent
-        return left_s > COPY_GAIN * estimate_s
+        return left_s > STRAGGLER_REMAINING_FACTOR * estimate_s
 
     def _plan_room(self, step: StepRun, now: float) -> None:
         """Reserve room for a step that does not fit, and preempt less urgent runs."""
