--- a/src/poplaryard/workload/ends.py
+++ b/src/poplaryard/workload/ends.py
@@ -13,7 +13,7 @@
 EJECT_MAX_S = 16.0
 # Number of different jobs that must fail on a worker, without a success in between, for
 # it to be ejected. A single job may have failed through its own fault.
-EJECT_AFTER = 2
+EJECT_AFTER_JOBS = 2
 
 
 class RunEndHandler(JobTable):
@@ -126,7 +126,7 @@
         """Record a failed run on a worker; eject the worker if several jobs failed."""
         if job_id not in worker.failed_jobs:
             worker.failed_jobs.append(job_id)
-        if len(worker.failed_jobs) < EJECT_AFTER:
+        if len(worker.failed_jobs) < EJECT_AFTER_JOBS:
             return
         pause_s = min(EJECT_S * 2**worker.ejections, EJECT_MAX_S)
         worker.ejections += 1
--- a/src/poplaryard/workload/placing.py
+++ b/src/poplaryard/workload/placing.py
@@ -9,7 +9,7 @@
 
 # Workers are grouped into speed classes by the logarithm of their relative run time;
 # this is the width of a class.
-SPEED_CLASS = 0.1
+SPEED_CLASS_WIDTH = 0.1
 # Jobs with at least this stretch factor use slow workers first, and leave the fast ones
 # to jobs with a tighter objective.
 LOOSE_STRETCH = 3.0
@@ -41,7 +41,7 @@
             step.on_worker(worker),
             -free.cpu_m / max(1, capacity.cpu_m),
         )
-    speed = round(worker.slowness / SPEED_CLASS)
+    speed = round(worker.slowness / SPEED_CLASS_WIDTH)
     if step.job.spec.stretch >= LOOSE_STRETCH:
         speed = -speed
     left_share = (free - step.need).dominant_share(capacity)
--- a/src/poplaryard/workload/relay.py
+++ b/src/poplaryard/workload/relay.py
@@ -24,10 +24,10 @@
 # Added to the wait of a watch for the timeout of its relayed call, in seconds.
 WATCH_SLACK_S = 0.8
 # Time between direct calls to a store that could not be reached directly, in seconds.
-PROBE_S = 0.3
+PROBE_PERIOD_S = 0.3
 # Maximum number of peers tried for a call, and the pause after all of them failed, in
 # seconds: the store is then probably down for all, and relayed calls only add load.
-PEERS_TRIED = 2
+MAX_PEERS_TRIED = 2
 FAILED_PAUSE_S = 0.5
 
 
@@ -238,7 +238,7 @@
         now = self._clock.now()
         if now < self._next_probe_at:
             return False
-        self._next_probe_at = now + PROBE_S
+        self._next_probe_at = now + PROBE_PERIOD_S
         return True
 
     def _direct_succeeded(self, result: t.Any) -> t.Any:
@@ -252,11 +252,11 @@
         if self.direct_ok:
             extra = {"reason": exc.detail}
             logger.warning("store not reached; calling it through peers", extra=extra)
-            self._next_probe_at = self._clock.now() + PROBE_S
+            self._next_probe_at = self._clock.now() + PROBE_PERIOD_S
         self.direct_ok = False
 
     async def _relay(self, call: _Call, timeout_s: float = RELAY_TIMEOUT_S) -> _Outcome:
-        """Make a call through one of up to `PEERS_TRIED` peers."""
+        """Make a call through one of up to `MAX_PEERS_TRIED` peers."""
         if self._clock.now() < self._relay_paused_until:
             raise StoreDown
         for address in self._candidates():
@@ -279,10 +279,10 @@
     def _candidates(self) -> list[str]:
         """Return the peers to try, starting with the one that answered last."""
         addresses = self._peers()
-        chosen = random.sample(addresses, min(PEERS_TRIED, len(addresses)))
+        chosen = random.sample(addresses, min(MAX_PEERS_TRIED, len(addresses)))
         if self._last_peer in addresses:
             chosen = [self._last_peer, *chosen]
-        return list(dict.fromkeys(chosen))[:PEERS_TRIED]
+        return list(dict.fromkeys(chosen))[:MAX_PEERS_TRIED]
 
     async def _relay_to(
         self, address: str, call: _Call, timeout_s: float
--- a/src/poplaryard/workload/reports.py
+++ b/src/poplaryard/workload/reports.py
@@ -13,13 +13,13 @@
 # A worker that has not answered for this many seconds is unresponsive. Nothing is
 # started on a worker that does not answer, so all tasks that it may run are known by
 # then.
-SILENT_S = 1.0
+UNRESPONSIVE_AFTER_S = 1.0
 
 
 def _tasks_if_silent(worker: Worker, now: float) -> tuple[str, ...] | None:
     """Return all tasks that a worker may run if it is unresponsive, else None."""
     known = worker.synced and not worker.rejected_runs
-    if worker.reachable or not known or now <= worker.clock_at + SILENT_S:
+    if worker.reachable or not known or now <= worker.clock_at + UNRESPONSIVE_AFTER_S:
         return None
     return tuple(sorted({run.task.name for run in worker.runs.values()}))
 
