--- a/src/poplaryard/platform/entry.py
+++ b/src/poplaryard/platform/entry.py
@@ -34,10 +34,10 @@
 SETTINGS_VARIABLE = "POPLARYARD_BOOT"
 EXIT_INVALID = 2
 # Timeout of calls to workers, in seconds; workers answer within milliseconds.
-ORDER_TIMEOUT_S = 0.7
+WORKER_CALL_TIMEOUT_S = 0.7
 # Upper limit of the lease that workers are given, in seconds. Longer leases delay the
 # restart of runs of a lost worker; shorter ones would lapse during a change of owner.
-HOLD_S = 6.0
+MAX_RUN_LEASE_S = 6.0
 # Time from SIGTERM until connections are closed, in seconds. The platform's load
 # balancer needs two probes, one a second, to notice that the process is not ready.
 LAME_DUCK_S = 2.5
@@ -46,7 +46,7 @@
 DRAIN_S = 2.8
 # Part of the grace period that is reserved for closing the owners and ending the lease,
 # in seconds. SIGKILL ends the process when the period is over.
-LAST_S = 1.4
+CLOSE_RESERVE_S = 1.4
 
 
 class Listen(msgspec.Struct, forbid_unknown_fields=False):
@@ -114,13 +114,13 @@
             cfg.listen.peers,
             strength(cfg.cpu_share * cfg.core_speed, cfg.link_mbps),
             OwnerLimits(
-                run_lease_s=min(HOLD_S, cfg.max_hold_ms / 1000),
+                run_lease_s=min(MAX_RUN_LEASE_S, cfg.max_hold_ms / 1000),
                 retention_s=cfg.keep_s,
                 early_s=cfg.early_ms / 1000,
             ),
         ),
         store,
-        WorkerClient(client, ORDER_TIMEOUT_S),
+        WorkerClient(client, WORKER_CALL_TIMEOUT_S),
         AdviceClient(client, cfg.advice),
         client,
         StoreSchema(
@@ -157,7 +157,7 @@
     logger.info("process started", extra={"process_id": os.getpid()})
     await stop.wait()
     logger.info("process stops")
-    hand_over_task = asyncio.create_task(node.hand_over(cfg.grace_s - LAST_S))
+    hand_over_task = asyncio.create_task(node.hand_over(cfg.grace_s - CLOSE_RESERVE_S))
     await asyncio.sleep(min(LAME_DUCK_S, cfg.grace_s / 2))
     await asyncio.gather(*(server.stop() for server in servers))
     await hand_over_task
--- a/src/poplaryard/platform/front.py
+++ b/src/poplaryard/platform/front.py
@@ -22,9 +22,9 @@
 # load balancer has noticed a process that is not ready, or a short outage is over.
 RETRY_S = 1.0
 # Part of the client's deadline that is reserved to send the response, in seconds.
-ANSWER_S = 0.2
+RESPONSE_RESERVE_S = 0.2
 # Deadline of a request that has no header x-deadline-ms, in seconds.
-DEADLINE_S = 3.0
+DEFAULT_DEADLINE_S = 3.0
 METRICS_PATH = "/metrics"
 # Limit of a peer's request: a transaction of 16 jobs of the largest size.
 MAX_PEER_BODY_BYTES = 8 * 1024 * 1024
@@ -102,7 +102,9 @@
             return Response(404)
         if method == "POST":
             limit = self._node.queues.max_body_bytes
-            retry_window_s = min(_deadline_s(scope), queue.timeout_s) - ANSWER_S
+            retry_window_s = (
+                min(_deadline_s(scope), queue.timeout_s) - RESPONSE_RESERVE_S
+            )
             body = await _read_body(receive, limit)
             return await self._post_job(queue, job_id, body, retry_window_s)
         if method == "GET":
@@ -217,4 +219,4 @@
 def _deadline_s(scope: Scope) -> float:
     """Return how long the client waits for the response, in seconds."""
     value = _header(scope, b"x-deadline-ms")
-    return int(value) / 1000 if value.isdigit() else DEADLINE_S
+    return int(value) / 1000 if value.isdigit() else DEFAULT_DEADLINE_S
