--- a/src/poplaryard/fencing.py
+++ b/src/poplaryard/fencing.py
@@ -3,8 +3,8 @@
 import math
 
 __all__ = [
-    "DRIFT",
-    "REMEMBERED_S",
+    "MAX_CLOCK_DRIFT",
+    "RECORD_RETENTION_S",
     "TASK_LEASE_S",
     "lease_wait_s",
     "shorten_for_drift",
@@ -12,22 +12,24 @@
 ]
 
 # Largest relative difference in rate between two monotonic clocks.
-DRIFT = 0.1
+MAX_CLOCK_DRIFT = 0.1
 
 # Time for which a worker lets a task run after the last renewal of its lease.
 TASK_LEASE_S = 4.0
 
 # Time for which a worker keeps the record of an attempt after its end; see guarantees
 # G3 and G5 of the design page.
-REMEMBERED_S = 600.0
+RECORD_RETENTION_S = 600.0
 
 
-def shorten_for_drift(seconds: float, drift: float = DRIFT) -> float:
+def shorten_for_drift(seconds: float, drift: float = MAX_CLOCK_DRIFT) -> float:
     """Return how much of a remotely granted time is safe to use on the local clock."""
     return seconds * (1.0 - drift)
 
 
-def lease_wait_s(task_lease_s: float = TASK_LEASE_S, drift: float = DRIFT) -> float:
+def lease_wait_s(
+    task_lease_s: float = TASK_LEASE_S, drift: float = MAX_CLOCK_DRIFT
+) -> float:
     """Return the time on the local clock after which an unrenewed task has ended."""
     return task_lease_s * (1.0 + drift)
 
--- a/src/poplaryard/fuzz_worker.py
+++ b/src/poplaryard/fuzz_worker.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, replace
 
 from .codes import Code
-from .fencing import REMEMBERED_S, TASK_LEASE_S
+from .fencing import RECORD_RETENTION_S, TASK_LEASE_S
 from .messages import (
     AttemptReport,
     AttemptState,
@@ -134,7 +134,7 @@
         forgotten = [
             k
             for k, item in self._attempts.items()
-            if item.ended_at and item.ended_at + REMEMBERED_S <= now
+            if item.ended_at and item.ended_at + RECORD_RETENTION_S <= now
         ]
         for attempt_id in forgotten:
             del self._attempts[attempt_id]
--- a/src/poplaryard/standin_worker.py
+++ b/src/poplaryard/standin_worker.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from .codes import Code
-from .fencing import REMEMBERED_S, TASK_LEASE_S
+from .fencing import RECORD_RETENTION_S, TASK_LEASE_S
 from .messages import (
     AttemptReport,
     AttemptState,
@@ -413,8 +413,8 @@
             return
 
     def _forget_old_attempts(self) -> None:
-        """Forget attempts that ended more than `REMEMBERED_S` ago."""
-        limit = self._clock() - REMEMBERED_S
+        """Forget attempts that ended more than `RECORD_RETENTION_S` ago."""
+        limit = self._clock() - RECORD_RETENTION_S
         for attempt_id, (ended, _) in list(self._ended.items()):
             if ended < limit:
                 del self._ended[attempt_id]
