--- a/src/poplaryard/acquisition.py
+++ b/src/poplaryard/acquisition.py
@@ -19,7 +19,7 @@
 RANK_WAIT_S = 0.2
 
 # Time for which other members leave a released shard to its named successor.
-SUCCESSOR_S = 2.0
+SUCCESSOR_WAIT_S = 2.0
 
 
 def live_members(record: Record, ended_leases: t.Container[str]) -> list[str]:
@@ -52,7 +52,7 @@
     if successor == process:
         return 0.0
     waits = rank(shard, process, live) * RANK_WAIT_S
-    return waits + (SUCCESSOR_S if successor in live else 0.0)
+    return waits + (SUCCESSOR_WAIT_S if successor in live else 0.0)
 
 
 def rank(shard: str, process: str, members: t.Iterable[str]) -> int:
--- a/src/poplaryard/lease.py
+++ b/src/poplaryard/lease.py
@@ -13,7 +13,7 @@
     RevokeLease,
 )
 
-__all__ = ["LEASE_TTL_S", "RETRY_S", "SPREAD_S", "Lease"]
+__all__ = ["LEASE_TTL_S", "RETRY_S", "REQUEST_SPREAD_S", "Lease"]
 
 # Time after the last renewal at which the store ends the lease.
 LEASE_TTL_S = 6.0
@@ -27,7 +27,7 @@
 # Time over which the requests for new leases are spread after an outage of the store.
 # All members request one then; without the spread, 120 processes make 1,000 calls in
 # one second. Owners keep their authority by promises meanwhile.
-SPREAD_S = 3.0
+REQUEST_SPREAD_S = 3.0
 
 
 class Lease:
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -8,7 +8,7 @@
 from .assignment import Assignment, Write
 from .fencing import lease_wait_s, shorten_for_drift
 from .heartbeats import Heartbeats
-from .lease import LEASE_TTL_S, SPREAD_S, Lease
+from .lease import LEASE_TTL_S, REQUEST_SPREAD_S, Lease
 from .messages import Authority, Tick
 from .ownership_messages import (
     Heartbeat,
@@ -45,18 +45,18 @@
 JOINER_WAIT_S = 1.0
 
 # Time between two acquisitions of one process: at most 2 shards per second.
-ACQUIRE_S = 0.5
+ACQUIRE_INTERVAL_S = 0.5
 
 # Longest authority announced at a time; ticks renew it. It is as long as the authority
 # by a store lease, so that workers see no difference between a lease and promises.
 AUTHORITY_S = shorten_for_drift(LEASE_TTL_S)
 
-# Value of `SPREAD_S` for a process that must not wait: it is leaving, releases shards
-# or has only limited authority.
-SHORT_SPREAD_S = 0.3
+# Value of `REQUEST_SPREAD_S` for a process that must not wait: it is leaving, releases
+# shards or has only limited authority.
+URGENT_REQUEST_SPREAD_S = 0.3
 
 # Interval between handovers that even out the number of shards that members own.
-BALANCE_S = 5.0
+BALANCE_INTERVAL_S = 5.0
 
 # Time without a confirmed lease renewal after which an owner requests promises from all
 # members.
@@ -161,7 +161,9 @@
     def _lease_failed(self, now: float, message: LeaseFailed) -> list[t.Any]:
         # Shards to be released, or with limited authority, should not wait for a lease.
         urgent = self._leaving or self._releasing or self.state == "limited"
-        self._lease.failed(now, message, SHORT_SPREAD_S if urgent else SPREAD_S)
+        self._lease.failed(
+            now, message, URGENT_REQUEST_SPREAD_S if urgent else REQUEST_SPREAD_S
+        )
         return self._authorities(now)
 
     # Authority
@@ -349,7 +351,7 @@
         return not owner or self.promises.given_until(owner) <= now
 
     def _take(self, now: float, shard: str) -> list[t.Any]:
-        self._acquire_at = now + ACQUIRE_S
+        self._acquire_at = now + ACQUIRE_INTERVAL_S
         old = self.record.shards.get(shard)
         uncertain = old is not None and not self._is_known(old, self.record)
         record = self.record.with_owner(shard, self.process, uncertain)
@@ -424,7 +426,7 @@
         """
         if now < self._balance_at or len(self._owned) < 2 or self._free_since:
             return []
-        self._balance_at = now + BALANCE_S * self._rng.uniform(0.8, 1.2)
+        self._balance_at = now + BALANCE_INTERVAL_S * self._rng.uniform(0.8, 1.2)
         live = set(self._assignment.live_members())
         usable = live - self.membership.avoided(now)
         shard = min(self._owned)
