--- a/src/poplaryard/centres.py
+++ b/src/poplaryard/centres.py
@@ -13,8 +13,8 @@
 __all__ = ["AskOwners", "OwnerNotice", "OwnersView", "RemoteOwners"]
 
 # Age at which a view is fetched again; it is refreshed only while it is used.
-FRESH_S = 3.0
-ASK_TIMEOUT_S = 1.0
+MAX_VIEW_AGE_S = 3.0
+CALL_TIMEOUT_S = 1.0
 # Time between two rounds of calls to a data centre that does not answer.
 RETRY_S = 0.5
 
@@ -114,7 +114,7 @@
         name = shard.rpartition("/")[0]
         cached = self._views.setdefault(name, _CachedView())
         now = self._clock.now()
-        if now - cached.seen_at > FRESH_S:
+        if now - cached.seen_at > MAX_VIEW_AGE_S:
             self._ask(name, cached, now)
         if not cached.reachable:
             return Code.HOME_UNREACHABLE
@@ -167,5 +167,5 @@
     async def _ask_one(self, name: str, address: str) -> bool:
         self._peers.set_address(address, address)
         ask = [Envelope(AskOwners(name))]
-        result = await self._peers.call(address, ask, ASK_TIMEOUT_S)
+        result = await self._peers.call(address, ask, CALL_TIMEOUT_S)
         return result is CallResult.DELIVERED
--- a/src/poplaryard/peers.py
+++ b/src/poplaryard/peers.py
@@ -27,7 +27,7 @@
 # Time for which the reply to a call is held back so that it can carry the answers to
 # the requests of the call. Each answer sent so saves a call, which costs more than half
 # a millisecond of processor time on both sides together.
-HOLD_S = 0.02
+REPLY_HOLD_S = 0.02
 CALL_TIMEOUT_S = 2.0
 # Largest body of a batch; 256 messages of up to 256 KB each could be far larger.
 BATCH_BYTES_LIMIT = 8 * 1024 * 1024
@@ -190,13 +190,13 @@
     async def hold_reply(self, process: str, count: int) -> list[t.Any]:
         """Hold the reply to a call back; return the messages to send with it.
 
-        It is held until there are answers to `count` requests, for at most `HOLD_S`,
-        and for at most `BATCH_WAIT_S` after the first answer.
+        It is held until there are answers to `count` requests, for at most
+        `REPLY_HOLD_S`, and for at most `BATCH_WAIT_S` after the first answer.
         """
         held = _HeldReply(count)
         calls = self._held_replies.setdefault(process, deque())
         calls.append(held)
-        timer = asyncio.get_running_loop().call_later(HOLD_S, held.done.set)
+        timer = asyncio.get_running_loop().call_later(REPLY_HOLD_S, held.done.set)
         await held.done.wait()
         timer.cancel()
         calls.remove(held)
--- a/src/poplaryard/rollout.py
+++ b/src/poplaryard/rollout.py
@@ -52,11 +52,11 @@
 WATCHER_TIMEOUT_S = 2.0
 # A process that knows of a newer ticket for this long, but got it from no peer, polls
 # the store itself.
-LAG_S = 1.0
+MAX_LAG_S = 1.0
 # Interval of the reports to other data centres.
-REPORT_S = 1.0
+REPORT_INTERVAL_S = 1.0
 # Minimum pause between two requests for changes to the same peer.
-ASK_AGAIN_S = 0.5
+MIN_REQUEST_INTERVAL_S = 0.5
 _MAX_BEHIND_LISTED = 8
 
 
@@ -248,7 +248,7 @@
     def _ask(self, now: float, peer: str) -> list[RolloutOutput]:
         if now < self._next_ask.get(peer, now):
             return []
-        self._next_ask[peer] = now + ASK_AGAIN_S
+        self._next_ask[peer] = now + MIN_REQUEST_INTERVAL_S
         return [Send(peer, AskState(self.process, self.number))]
 
     def _on_peer_number(
@@ -314,7 +314,7 @@
             out.append(LoadConfig(self._delayed_load[1]))
             self._delayed_load = None
         watchers_silent = now - self._watcher_heard_at > WATCHER_TIMEOUT_S
-        lagging = self._lag_since is not None and now - self._lag_since > LAG_S
+        lagging = self._lag_since is not None and now - self._lag_since > MAX_LAG_S
         polls = self._watching or watchers_silent or lagging or not self.ready
         if now >= self._next_poll and polls:
             self._next_poll = now + POLL_S
@@ -322,7 +322,7 @@
             if not self.ready:
                 out += self._ask_all(now)
         if self._watching and self.ready and now >= self._next_report:
-            self._next_report = now + REPORT_S
+            self._next_report = now + REPORT_INTERVAL_S
             report = self._own_report()
             out += [Send(peer, report) for peer in self._one_per_centre()]
         return out
--- a/tests/test_centres.py
+++ b/tests/test_centres.py
@@ -2,7 +2,7 @@
 
 import testtools
 
-from poplaryard.centres import FRESH_S, RETRY_S, OwnersView, RemoteOwners
+from poplaryard.centres import MAX_VIEW_AGE_S, RETRY_S, OwnersView, RemoteOwners
 from poplaryard.clock import VirtualClock
 from poplaryard.codes import Code
 from poplaryard.peers import CallResult
@@ -50,7 +50,7 @@
         self.assertEqual("a:3", self.addresses["q#1"])
         self.assertEqual("q#1", self.owner())
         self.assertEqual((2, 1), (len(self.asked), len(self.changes)))
-        self.clock.advance(FRESH_S + 1.0)
+        self.clock.advance(MAX_VIEW_AGE_S + 1.0)
         del self.answers["a:2"]
         self.answers["a:3"] = OwnersView("dc2", {"dc2/0": "q#2"}, {})
         self.assertEqual("q#2", self.owner())
