--- a/src/poplaryard/preemption.py
+++ b/src/poplaryard/preemption.py
@@ -16,10 +16,10 @@
 
 # Time given to a checkpoint before the task is stopped. Urgent work is to start within
 # 2.3 s; the stop, its report and the start need the rest.
-CHECKPOINT_S = 1.2
+CHECKPOINT_TIMEOUT_S = 1.2
 
 # Time after which a stop is sent again if the attempt is not reported as ended.
-STOP_AGAIN_S = 1.0
+STOP_RETRY_S = 1.0
 
 
 class Victims(t.NamedTuple):
@@ -143,7 +143,7 @@
         while self._stops_due and self._stops_due[0][0] <= now:
             attempt = self._state.attempts.get(heapq.heappop(self._stops_due)[1])
             if attempt is not None:
-                self._stop(now, attempt, StopMode.STOP, STOP_AGAIN_S)
+                self._stop(now, attempt, StopMode.STOP, STOP_RETRY_S)
 
     def _victims(
         self,
@@ -170,9 +170,9 @@
         for attempt in attempts:
             attempt.preempted = True
             if attempt.work.checkpointable:
-                self._stop(now, attempt, StopMode.CHECKPOINT, CHECKPOINT_S)
+                self._stop(now, attempt, StopMode.CHECKPOINT, CHECKPOINT_TIMEOUT_S)
             else:
-                self._stop(now, attempt, StopMode.STOP, STOP_AGAIN_S)
+                self._stop(now, attempt, StopMode.STOP, STOP_RETRY_S)
 
     def _stop(
         self, now: float, attempt: Attempt, mode: StopMode, repeat_after_s: float
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -16,7 +16,7 @@
 __all__ = ["Replicas"]
 
 # Time after which a drain is repeated if the end of the replica was not reported.
-DRAIN_AGAIN_S = 2.0
+DRAIN_RETRY_S = 2.0
 
 
 class _Sizes(t.NamedTuple):
@@ -100,7 +100,7 @@
             pool = self._state.pools[name]
             for replica in pool.reconcile(now):
                 attempt = self._state.attempts.get(replica.attempt_id)
-                if attempt and now >= attempt.stop_sent_at + DRAIN_AGAIN_S:
+                if attempt and now >= attempt.stop_sent_at + DRAIN_RETRY_S:
                     self._state.stop(now, attempt, StopMode.DRAIN)
             missing = pool.missing() if settled else 0
             held = self._start_held(now, pool, missing)
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -23,10 +23,10 @@
 
 # Largest number of stops sent in one call. Many cancellations at once are spread over
 # several calls, so that placement continues between them.
-STOP_SLICE = 32
+MAX_STOPS_PER_CALL = 32
 
 # Time after which a stop is repeated if the end of the attempt was not reported.
-STOP_AGAIN_S = 1.0
+STOP_RETRY_S = 1.0
 
 # Codes that replace a "not run" code if the ledger shows that an attempt may have run.
 _MAY_HAVE_RUN = {Code.EXPIRED: Code.TIMED_OUT, Code.CANCELLED: Code.STOPPED}
@@ -230,14 +230,14 @@
             self._queued_stops.extend(sorted(job.attempts))
 
     def send_stops(self, now: float) -> None:
-        """Send up to `STOP_SLICE` queued stops, and repeat those without effect."""
+        """Send up to `MAX_STOPS_PER_CALL` queued stops; repeat those without effect."""
         while self._sent_stops and self._sent_stops[0][0] <= now:
             self._queued_stops.append(self._sent_stops.popleft()[1])
-        for _ in range(min(STOP_SLICE, len(self._queued_stops))):
+        for _ in range(min(MAX_STOPS_PER_CALL, len(self._queued_stops))):
             attempt = self._state.attempts.get(self._queued_stops.popleft())
             if attempt is not None:
                 self._state.stop(now, attempt, StopMode.STOP)
-                self._sent_stops.append((now + STOP_AGAIN_S, attempt.attempt_id))
+                self._sent_stops.append((now + STOP_RETRY_S, attempt.attempt_id))
 
     def _end_job(self, now: float, job: Job, code: Code) -> None:
         self._send(now, job, self.ledger.end(now, job.request_id, code))
