--- a/src/poplaryard/assignment.py
+++ b/src/poplaryard/assignment.py
@@ -19,16 +19,16 @@
 
 # Interval at which each process reads the record, in case both members that watch it
 # fail unnoticed.
-READ_S = 10.0
+READ_INTERVAL_S = 10.0
 
 # Shortest and longest wait before a failed release is retried. It is short because the
 # tasks of the shard end with their leases of 4 s unless a successor claims the workers.
 RELEASE_RETRY_S = (0.1, 0.3)
 
 # The wait after a conflict is uniform between 0 and a bound. The bound is twice
-# `BACKOFF_S` at first and doubles with each further conflict up to `LONGEST_BACKOFF_S`.
+# `BACKOFF_S` at first and doubles with each further conflict up to `MAX_BACKOFF_S`.
 BACKOFF_S = 0.1
-LONGEST_BACKOFF_S = 3.0
+MAX_BACKOFF_S = 3.0
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
         if self._reading:
             return []
         self._reading = True
-        self._read_at = now + READ_S * self._rng.uniform(0.8, 1.2)
+        self._read_at = now + READ_INTERVAL_S * self._rng.uniform(0.8, 1.2)
         return [ReadRecord()]
 
     def read_ended(self) -> None:
@@ -174,7 +174,7 @@
         # The record is read only when the next write is due. Otherwise many members
         # that start at once would each read it after every conflict.
         self._conflicts += 1
-        wait = min(LONGEST_BACKOFF_S, BACKOFF_S * 2.0**self._conflicts)
+        wait = min(MAX_BACKOFF_S, BACKOFF_S * 2.0**self._conflicts)
         self.write_at = now + self._rng.uniform(0.0, wait)
         self._read_at = min(self._read_at, self.write_at)
         return []
--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -33,10 +33,10 @@
 
 # Time after which a claim without any reply is repeated. It is longer than the back-off
 # and time-out of a link, which a new claim would restart.
-CLAIM_AGAIN_S = 5.0
+UNANSWERED_CLAIM_RETRY_S = 5.0
 
 # Interval at which a worker with attempts in doubt is claimed again.
-RECHECK_S = 0.5
+IN_DOUBT_RECLAIM_S = 0.5
 
 # End of an authority that is not valid.
 _ENDED = float("-inf")
@@ -200,7 +200,7 @@
         for vm in list(self._unclaimed.values()):
             self._check_unclaimed(now, vm)
         for vm in list(self._in_doubt.values()):
-            if now >= vm.claim_sent_at + RECHECK_S:
+            if now >= vm.claim_sent_at + IN_DOUBT_RECLAIM_S:
                 self._claim(now, vm)
 
     def _set_unclaimed(self, now: float, vm: Vm) -> None:
@@ -311,7 +311,7 @@
             if now >= lost_after(attempt, vm.lost_at):
                 self._results.lost(now, attempt)
         if vm.name not in self._gone:
-            if now >= vm.claim_sent_at + CLAIM_AGAIN_S:
+            if now >= vm.claim_sent_at + UNANSWERED_CLAIM_RETRY_S:
                 vm.lost_at = min(vm.lost_at, now)
                 self._claim(now, vm)
         elif not vm.charges:
--- a/src/poplaryard/state.py
+++ b/src/poplaryard/state.py
@@ -36,7 +36,7 @@
 CLAIMS_WAIT_S = 1.0
 
 # Largest assumed difference between the wall clocks of two processes.
-SKEW_S = 5.0
+MAX_CLOCK_SKEW_S = 5.0
 
 
 class Start(t.NamedTuple):
@@ -111,7 +111,7 @@
         have been claimed.
         """
         owned_since_wall = wall - (now - self.owned_since)
-        if work.issued_at > owned_since_wall + SKEW_S:
+        if work.issued_at > owned_since_wall + MAX_CLOCK_SKEW_S:
             return True
         if self.takeover is not None:
             return self.takeover.state == "complete"
