--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -45,9 +45,9 @@
 STORE_CONNECTIONS = 32
 # Time for which a stopping process still accepts requests, so that the platform's load
 # balancer can see that it is no longer ready.
-NOT_READY_S = 1.0
+LAME_DUCK_S = 1.0
 # Timeout of the hand-over; a store that is down must not block a planned stop.
-LEAVE_S = 5.0
+LEAVE_TIMEOUT_S = 5.0
 
 Hook: t.TypeAlias = t.Callable[[], t.Awaitable[None]]
 
@@ -232,9 +232,9 @@
     async def _hand_over(self) -> None:
         """Hand over the shards and the lease, then wait for the open requests."""
         deadline = self.clock.now() + self.settings.limits.shutdown_s
-        await asyncio.sleep(NOT_READY_S)
+        await asyncio.sleep(LAME_DUCK_S)
         self.state = "draining"
-        await self.ownership_task.leave(LEAVE_S)
+        await self.ownership_task.leave(LEAVE_TIMEOUT_S)
         await self.dispatcher.requests.wait_until_answered(deadline - self.clock.now())
         # Shards that could not be handed over still serve requests of other processes.
         await self.dispatcher.wait_until_idle(deadline - self.clock.now())
--- a/src/poplaryard/client.py
+++ b/src/poplaryard/client.py
@@ -21,7 +21,7 @@
 CONNECT_TIMEOUT_S = 1.0
 # Idle timeout of a pooled connection in ms. Shorter than the servers' keep-alive time,
 # so that no call is sent over a connection that the server is about to close.
-IDLE_MS = 30_000
+IDLE_TIMEOUT_MS = 30_000
 
 
 class Reply(t.NamedTuple):
@@ -102,7 +102,7 @@
 
     def __init__(self, connections: int = 64, key: str = ""):
         pool = PoolConfig(
-            size=connections, max_conn_requests=None, max_conn_idle_ms=IDLE_MS
+            size=connections, max_conn_requests=None, max_conn_idle_ms=IDLE_TIMEOUT_MS
         )
         connector = TCPConnector(
             pool_configs={":default": pool}, connection_cls=_Connection
--- a/src/poplaryard/operator_context.py
+++ b/src/poplaryard/operator_context.py
@@ -19,7 +19,7 @@
 __all__ = ["OperatorService"]
 
 # Interval between evaluations of the alarms; an alarm's start has this accuracy.
-OBSERVE_S = 2.0
+ALARM_CHECK_INTERVAL_S = 2.0
 
 
 class OperatorService:
@@ -129,4 +129,4 @@
     async def _track_alarms(self) -> None:
         while True:
             self._evaluate_status()
-            await asyncio.sleep(OBSERVE_S)
+            await asyncio.sleep(ALARM_CHECK_INTERVAL_S)
--- a/src/poplaryard/status.py
+++ b/src/poplaryard/status.py
@@ -12,9 +12,9 @@
 
 # Time after which an unconfirmed change raises an alarm; a ticket must be in force
 # everywhere within 3 s.
-LATE_S = 3.0
+UNCONFIRMED_ALARM_S = 3.0
 # Age of a data centre's last report from which an alarm is raised.
-SILENT_S = 5.0
+REPORT_AGE_ALARM_S = 5.0
 _MAX_NAMES = 5
 
 
@@ -208,14 +208,14 @@
     if 0 < health.store_number < health.number and health.store_ok:
         detail = f"The store is at ticket {health.store_number}, but "
         yield "store-behind", f"{detail}ticket {health.number} is in force here."
-    late = health.behind_s > LATE_S
+    late = health.behind_s > UNCONFIRMED_ALARM_S
     if health.behind and late:
         what = (
             f"Ticket {health.number} is not confirmed by {_join_names(health.behind)}."
         )
         yield "ticket-late", what
     for name, (lowest, age) in sorted(health.centres.items()):
-        if age > SILENT_S:
+        if age > REPORT_AGE_ALARM_S:
             yield "centre-silent", f"{name} has not reported for {age:.0f} s."
         elif lowest < health.number and late:
             what = f"{name} has ticket {lowest} in force, not {health.number}."
