--- a/src/poplaryard/estimate.py
+++ b/src/poplaryard/estimate.py
@@ -12,11 +12,11 @@
 
 # Maximum number of job classes kept; the least recently updated one is evicted. At
 # about 1 KB per entry, all take 1 MB.
-CLASSES = 1024
+MAX_CLASSES = 1024
 
 # Run times are kept in a histogram. The first bucket ends at 10 ms, and the upper
 # bounds grow by a factor of the square root of two.
-_FIRST_S = 0.01
+_FIRST_BUCKET_S = 0.01
 _BUCKETS = 48
 
 # Total at which all bucket counts are halved, so that old run times lose weight.
@@ -106,15 +106,15 @@
         for bucket, count in enumerate(learned.counts):
             rank -= count
             if rank <= 0:
-                return _FIRST_S * 2 ** (bucket / 2)
-        return _FIRST_S * 2 ** (_BUCKETS / 2)
+                return _FIRST_BUCKET_S * 2 ** (bucket / 2)
+        return _FIRST_BUCKET_S * 2 ** (_BUCKETS / 2)
 
     def _entry(self, work: Work) -> _Learned:
         key = _key(work)
         learned = self._classes.get(key)
         if learned is None:
             learned = self._classes[key] = _Learned()
-            if len(self._classes) > CLASSES:
+            if len(self._classes) > MAX_CLASSES:
                 self._classes.popitem(last=False)
         else:
             self._classes.move_to_end(key)
@@ -131,6 +131,6 @@
 
 def _bucket(elapsed_s: float) -> int:
     """Return the bucket whose upper end is the first not below `elapsed_s`."""
-    if elapsed_s <= _FIRST_S:
+    if elapsed_s <= _FIRST_BUCKET_S:
         return 0
-    return min(_BUCKETS - 1, math.ceil(2 * math.log2(elapsed_s / _FIRST_S)))
+    return min(_BUCKETS - 1, math.ceil(2 * math.log2(elapsed_s / _FIRST_BUCKET_S)))
--- a/src/poplaryard/gangs.py
+++ b/src/poplaryard/gangs.py
@@ -25,11 +25,11 @@
 MAX_MOVES_PER_PASS = 32
 
 # Shortest interval between two choices of VMs for one reservation.
-REPLAN_S = 1.0
+MIN_REPLAN_INTERVAL_S = 1.0
 
 # Quantile of the run times that backfill and reservations expect of a task. It is high,
 # since one late task delays the whole gang.
-QUANTILE = 0.9
+RUN_TIME_QUANTILE = 0.9
 
 
 @dataclass(slots=True, eq=False)
@@ -158,7 +158,9 @@
         planned = len(job.held) == len(job.pending)
         blocked = vms.get(reservation.waits_for)
         if planned and blocked is not None and blocked.overcommitted:
-            late = now >= max(reservation.starts_at, reservation.planned_at + REPLAN_S)
+            late = now >= max(
+                reservation.starts_at, reservation.planned_at + MIN_REPLAN_INTERVAL_S
+            )
             index, need = self._state.fleet.index, reservation.need
             if not late and index.best_fit(need, job.work.group) is None:
                 return False
@@ -187,7 +189,7 @@
         Holds on VMs with free room stay.
         """
         job, vms = reservation.job, self._state.fleet.vms
-        if now < reservation.planned_at + REPLAN_S:
+        if now < reservation.planned_at + MIN_REPLAN_INTERVAL_S:
             return
         late = now >= reservation.starts_at
         if not late and len(job.held) == len(job.pending):
@@ -244,7 +246,7 @@
         never ends is not always expected to end soon.
         """
         elapsed_s = now - attempt.sent_at
-        expected_s = self._estimator.run_time_s(attempt.work, QUANTILE)
+        expected_s = self._estimator.run_time_s(attempt.work, RUN_TIME_QUANTILE)
         if elapsed_s < expected_s:
             return attempt.sent_at + expected_s
         return now + elapsed_s
--- a/src/poplaryard/starter.py
+++ b/src/poplaryard/starter.py
@@ -4,7 +4,7 @@
 
 from .admission import Admission
 from .estimate import Estimator
-from .gangs import QUANTILE, Gangs
+from .gangs import RUN_TIME_QUANTILE, Gangs
 from .jobs import Job
 from .lanes import QueueEntry
 from .messages import Priority, WorkKind
@@ -49,7 +49,7 @@
         choice = choose(task, fleet, rng)
         if choice is not None or not self._gangs.active:
             return choice
-        run_time_s = self._estimator.run_time_s(work, QUANTILE)
+        run_time_s = self._estimator.run_time_s(work, RUN_TIME_QUANTILE)
         vm = self._gangs.backfill(now, charge, work.group, run_time_s)
         return Choice(vm) if vm else None
 
--- a/tests/test_estimate.py
+++ b/tests/test_estimate.py
@@ -1,4 +1,4 @@
-from poplaryard.estimate import CLASSES, Estimator
+from poplaryard.estimate import MAX_CLASSES, Estimator
 from poplaryard.messages import WorkKind
 from poplaryard.resources import Resources
 from tests.builders import work
@@ -47,6 +47,6 @@
 
 def test_memory_is_bounded():
     estimator = Estimator()
-    for number in range(CLASSES + 100):
+    for number in range(MAX_CLASSES + 100):
         estimator.record_run_time(job(job_class=str(number)), 1.0)
-    assert len(estimator) == CLASSES
+    assert len(estimator) == MAX_CLASSES
