--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -42,7 +42,7 @@
 
 # Attempts to swap the head for one ticket. An attempt fails only if another ticket is
 # accepted first or a reply of the store is lost.
-_ROUNDS = 30
+_MAX_SWAP_ATTEMPTS = 30
 _WRITE_TRIES = 3
 # Objects written concurrently, and the pause between two such groups. Without it, a
 # ticket of many objects would use up the several hundred writes/s that the store
@@ -105,7 +105,7 @@
             return FileResult(exc.code, 0, exc.detail)
 
     async def _file_with_retries(self, filing: Filing) -> FileResult:
-        for attempt in range(_ROUNDS):
+        for attempt in range(_MAX_SWAP_ATTEMPTS):
             if attempt:
                 await asyncio.sleep(self._rng.uniform(0, 2 * _RETRY_PAUSE_S))
             result = await self._try_once(filing)
--- a/src/poplaryard/compaction.py
+++ b/src/poplaryard/compaction.py
@@ -22,9 +22,9 @@
 SNAPSHOT_EVERY = 128
 # Most deletions per run. With a run per snapshot, this is more than the values written
 # between two runs if each ticket changes one object.
-_DELETIONS = 400
+_MAX_DELETIONS = 400
 # Attempts of a write that fails by conflicts or lost replies.
-_ROUNDS = 20
+_MAX_WRITE_ATTEMPTS = 20
 
 
 class Compactor:
@@ -69,7 +69,7 @@
 
     async def _put_part(self, key: str, part: dict[str, t.Any]) -> bool:
         """Write one part and return whether the store holds it."""
-        for _ in range(_ROUNDS):
+        for _ in range(_MAX_WRITE_ATTEMPTS):
             try:
                 await self._store.put_if(key, part, 0)
                 return True
@@ -83,7 +83,7 @@
 
     async def _put_in_force(self, number: int, parts: int) -> bool:
         """Let the head refer to a snapshot, and return whether it does."""
-        for _ in range(_ROUNDS):
+        for _ in range(_MAX_WRITE_ATTEMPTS):
             head, entry = await read_head(self._store)
             if head.snapshot >= number or entry is None:
                 return head.snapshot == number
@@ -107,7 +107,7 @@
         snapshots = await self._store.scan("config/snapshot/")
         stale = [entry for entry in objects if _object_is_stale(entry, head)]
         stale += [entry for entry in snapshots if _snapshot_is_stale(entry, head)]
-        for entry in stale[:_DELETIONS]:
+        for entry in stale[:_MAX_DELETIONS]:
             try:
                 await self._store.delete_if(entry.key, entry.version)
             except (StoreConflict, StoreReplyLost):
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -28,7 +28,7 @@
 _CONCURRENT_READS = 8
 # Attempts to read the head and its objects. An attempt fails if objects are deleted
 # meanwhile, which happens only after the head was replaced.
-_ROUNDS = 8
+_MAX_READ_ATTEMPTS = 8
 
 # Object key to its reference and value, as in `Delta.objects`.
 _ObjectValues = dict[str, tuple[str, dict[str, t.Any] | None]]
@@ -98,7 +98,7 @@
             If the store does not answer.
         """
         async with self._lock:
-            for _ in range(_ROUNDS):
+            for _ in range(_MAX_READ_ATTEMPTS):
                 if head is None:
                     head, _entry = await read_head(self._store)
                 if head.number <= self.state.number:
