--- a/src/poplaryard/lookup.py
+++ b/src/poplaryard/lookup.py
@@ -13,7 +13,7 @@
 
 CALL_TIMEOUT_S = 1.0
 # Rounds of calls; together they outlast a take-over, whose new owner can then be asked.
-ROUNDS = 60
+MAX_ROUNDS = 60
 ROUND_WAIT_S = 0.2
 
 
@@ -90,7 +90,7 @@
         """
         self._explanations.pop(request_id, None)
         query = Lookup(request_id, self._process if watch else "")
-        for _ in range(ROUNDS):
+        for _ in range(MAX_ROUNDS):
             complete = await self._ask_all(query)
             explanation = self._explanations.pop(request_id, None)
             if explanation is not None or complete:
--- a/src/poplaryard/membership.py
+++ b/src/poplaryard/membership.py
@@ -14,7 +14,7 @@
 FANOUT = 8
 
 # Missed heartbeats in a row after which a peer is suspected.
-MISSES = 3
+SUSPECT_AFTER_MISSES = 3
 
 # Penalty from which a peer is avoided. Each suspicion raises the penalty of a peer by
 # 1, and it decays with the half-life. Without it, a peer that alternates between
@@ -94,7 +94,7 @@
         if peer is None:
             return
         peer.misses += 1
-        if peer.misses >= MISSES and not peer.suspected:
+        if peer.misses >= SUSPECT_AFTER_MISSES and not peer.suspected:
             self._suspect(now, peer)
 
     def add_suspicions(self, now: float, suspects: t.Iterable[str]) -> None:
--- a/src/poplaryard/ownership_io.py
+++ b/src/poplaryard/ownership_io.py
@@ -41,7 +41,7 @@
 
 TICK_S = 0.1
 # Time without a tick after which the process is considered to have been paused.
-PAUSE_S = 0.5
+MIN_PROCESS_PAUSE_S = 0.5
 WATCH_WAIT_S = 20.0
 WATCH_RETRY_S = 1.0
 # A heartbeat without a reply after this time counts as missed. The next one is sent a
@@ -134,7 +134,7 @@
 
         Call it before messages are handled that need the authority.
         """
-        if self._clock.now() - self._last_tick > PAUSE_S:
+        if self._clock.now() - self._last_tick > MIN_PROCESS_PAUSE_S:
             self._last_tick = self._clock.now()
             self.handle(Tick())
 
--- a/tests/test_lookup.py
+++ b/tests/test_lookup.py
@@ -18,7 +18,7 @@
     def setUp(self):
         super().setUp()
         self.patch(lookup, "ROUND_WAIT_S", 0.0)
-        self.patch(lookup, "ROUNDS", 3)
+        self.patch(lookup, "MAX_ROUNDS", 3)
         self.calls, self.known, self.silent = [], set(), set()
         self.complete = True
         self.finder = Finder(
--- a/tests/test_ownership_io.py
+++ b/tests/test_ownership_io.py
@@ -5,7 +5,7 @@
 from poplaryard.clock import VirtualClock
 from poplaryard.messages import Tick
 from poplaryard.ownership import Ownership
-from poplaryard.ownership_io import PAUSE_S, OwnershipTask
+from poplaryard.ownership_io import MIN_PROCESS_PAUSE_S, OwnershipTask
 from poplaryard.ownership_messages import (
     GrantLease,
     Heartbeat,
@@ -134,6 +134,6 @@
         self.run_commands()
         self.task.check_pause()
         self.assertEqual([], self.messages)
-        self.clock.advance(2 * PAUSE_S)
+        self.clock.advance(2 * MIN_PROCESS_PAUSE_S)
         self.task.check_pause()
         self.assertEqual([Tick()], self.messages)
