--- a/src/poplaryard/demo.py
+++ b/src/poplaryard/demo.py
@@ -24,7 +24,7 @@
 ROUNDS = 25
 # Gap between the requests to a service, so that requests are sent before, between and
 # after the second ticket and the failure of a worker.
-GAP_S = 0.12
+REQUEST_GAP_S = 0.12
 # Rounds after which the second ticket is filed and a worker fails.
 TICKET_ROUND = 6
 FAILURE_ROUND = 12
@@ -126,7 +126,7 @@
         body = _request(shape, number)
         call = _send(cell, results, shape.name, "/v1/requests", body)
         calls.append(asyncio.create_task(call))
-        await asyncio.sleep(GAP_S)
+        await asyncio.sleep(REQUEST_GAP_S)
     await asyncio.gather(*calls)
 
 
@@ -138,7 +138,7 @@
 
 async def _run_events(cell: Cell, lines: list[str]) -> None:
     """File the second ticket and fail a worker while requests are sent."""
-    await asyncio.sleep(TICKET_ROUND * GAP_S)
+    await asyncio.sleep(TICKET_ROUND * REQUEST_GAP_S)
     clock = SystemClock()
     filed_at = clock.now()
     booking = service(SHAPES[0], SHAPES[0].replicas + 3)
@@ -150,7 +150,7 @@
     lines.append(
         f"Ticket {number} (booking: 9 to 12 replicas): {state}, {took_ms:.0f} ms."
     )
-    await asyncio.sleep((FAILURE_ROUND - TICKET_ROUND) * GAP_S)
+    await asyncio.sleep((FAILURE_ROUND - TICKET_ROUND) * REQUEST_GAP_S)
     failed = "dc1-gate-imaging-0"
     cell.fail(failed)
     lines.append(f"Worker {failed} stopped answering while it had work.")
--- a/src/poplaryard/load.py
+++ b/src/poplaryard/load.py
@@ -20,11 +20,11 @@
 _clock = SystemClock()
 
 # Largest latency that the histogram can hold; longer ones are counted as this.
-LARGEST_US = 60_000_000
+MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 REQUEST_TIMEOUT_S = 30.0
 # Requests due within this time are sent in one iteration of the loop.
-STEP_S = 0.001
+SEND_WINDOW_S = 0.001
 
 
 class LoadResult:
@@ -44,14 +44,14 @@
     """
 
     def __init__(self) -> None:
-        self.latency = HdrHistogram(1, LARGEST_US, SIGNIFICANT_DIGITS)
+        self.latency = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         self.codes: Counter[int] = Counter()
         self.incomplete = 0
 
     def record(self, due: float, code: int, complete: bool) -> None:
         """Record one answer; `due` is the time at which its request was due."""
         elapsed_us = int((_clock.now() - due) * 1e6)
-        self.latency.record_value(min(max(elapsed_us, 1), LARGEST_US))
+        self.latency.record_value(min(max(elapsed_us, 1), MAX_LATENCY_US))
         self.codes[code] += 1
         self.incomplete += not complete
 
@@ -114,7 +114,7 @@
     due, number = start, 0
     while due < start + duration_s:
         now = _clock.now()
-        while due <= now + STEP_S and due < start + duration_s:
+        while due <= now + SEND_WINDOW_S and due < start + duration_s:
             url = f"http://{targets[number % len(targets)]}/v1/requests"
             body = _body(f"{prefix}-{number}", service, run_ms, number)
             task = asyncio.create_task(_send(client, url, body, due, result))
--- a/src/poplaryard/serve.py
+++ b/src/poplaryard/serve.py
@@ -18,7 +18,7 @@
 # Allocations between two runs of the garbage collector. With the default of 700, it
 # would traverse the ledgers and answers, tens of thousands of objects, many times per
 # second under load.
-COLLECT_AFTER = 50_000
+GC_THRESHOLD = 50_000
 
 
 class StopSignal:
@@ -54,7 +54,7 @@
     """Exclude the objects that exist now from garbage collection; run it less often."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 20)
+    gc.set_threshold(GC_THRESHOLD, 20, 20)
 
 
 @click.command()
