--- a/src/poplaryard/links.py
+++ b/src/poplaryard/links.py
@@ -27,7 +27,7 @@
 # Largest number of starts in one call.
 START_BATCH = 64
 # Start calls open at once to one worker; further starts are collected into a batch.
-START_CALLS = 4
+MAX_START_CALLS = 4
 # A quarter of the task lease, so that no task ends when two polls in a row are lost.
 POLL_WAIT_S = 1.0
 # Limits of the random back-off before a claim that follows a failure.
@@ -122,7 +122,7 @@
     def start(self, command: StartAttempt) -> None:
         """Queue a start; it is sent with the next batch."""
         self._starts.append(command)
-        if self._start_calls < START_CALLS:
+        if self._start_calls < MAX_START_CALLS:
             self._start_calls += 1
             self._spawn(self._send_starts())
 
--- a/src/poplaryard/standin_platform_http.py
+++ b/src/poplaryard/standin_platform_http.py
@@ -24,7 +24,7 @@
 __all__ = ["PlatformHost"]
 
 # Delay of a reply that counts as lost; no caller waits this long.
-HANG_S = 30.0
+DROPPED_REPLY_DELAY_S = 30.0
 EXPIRY_PERIOD_S = 0.1
 WATCH_WAIT_LIMIT_S = 30.0
 _WRITES = frozenset({"put_if", "delete_if", "grant", "keep_alive", "revoke"})
@@ -102,7 +102,7 @@
             return _error(400, f"The call is malformed: {exc!r}")
         if name in _WRITES and self.faults.lose_replies > 0:
             self.faults.lose_replies -= 1
-            await asyncio.sleep(HANG_S)
+            await asyncio.sleep(DROPPED_REPLY_DELAY_S)
         return JSONResponse(found)
 
     def _within_rate(self, name: str) -> bool:
--- a/src/poplaryard/standin_worker_http.py
+++ b/src/poplaryard/standin_worker_http.py
@@ -23,7 +23,7 @@
 _clock = SystemClock()
 
 # Time for which a dropped reply is withheld; longer than any caller waits for one.
-HANG_S = 30.0
+DROPPED_REPLY_DELAY_S = 30.0
 EXPIRY_PERIOD_S = 0.25
 
 
@@ -162,10 +162,10 @@
         return vm
 
     async def _respond(self, vm: WorkerVm, body: t.Any) -> Response:
-        """Return the response, after `HANG_S` if the reply is to be dropped."""
+        """Return the response, after `DROPPED_REPLY_DELAY_S` if it is to be dropped."""
         if vm.faults.drop_replies > 0:
             vm.faults.drop_replies -= 1
-            await asyncio.sleep(HANG_S)
+            await asyncio.sleep(DROPPED_REPLY_DELAY_S)
         data = json.dumps(body, separators=(",", ":")).encode()
         return Response(data, media_type="application/json")
 
