--- a/src/poplaryard/claims.py
+++ b/src/poplaryard/claims.py
@@ -217,7 +217,7 @@
         epoch, takeover = self._state.authority.epoch, self._state.takeover
         if not epoch or vm.name in self._gone:
             return
-        if takeover is None or vm.name not in takeover.missing:
+        if takeover is None or vm.name not in takeover.unclaimed:
             self._send_claim(now, vm, epoch)
 
     def _send_claim(self, now: float, vm: Vm, epoch: int) -> None:
--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -206,7 +206,7 @@
         if vm is None or message.epoch != self._takeover.epoch:
             return []
         vm.leaving = vm.leaving or message.leaving
-        if message.vm in self._takeover.missing:
+        if message.vm in self._takeover.unclaimed:
             return []
         out: list[t.Any] = []
         for report in message.attempts:
--- a/src/poplaryard/takeover.py
+++ b/src/poplaryard/takeover.py
@@ -93,7 +93,7 @@
         self.claims_new = True
         self._known = known
         self._list_read = list_read
-        # Missing workers that were not listed at the take-over.
+        # Unclaimed workers that were not listed at the take-over.
         self._unlisted: set[str] = set()
         self._first = first
         self._handed_over = handed_over
@@ -101,7 +101,7 @@
         self._wait_until = now + (lease_wait_s() if wait_s is None else wait_s)
         self._wall_offset = wall - now
         # Workers to be claimed, each with the time of its next claim.
-        self._missing: dict[str, float] = dict.fromkeys(workers, 0.0)
+        self._unclaimed: dict[str, float] = dict.fromkeys(workers, 0.0)
         self._claimed: set[str] = set()
         # Ids issued before this wall-clock time may have run on VMs that have left and
         # cannot be claimed any more.
@@ -111,9 +111,9 @@
         self._step(now)
 
     @property
-    def missing(self) -> frozenset[str]:
+    def unclaimed(self) -> frozenset[str]:
         """Workers that have not been claimed yet; nothing is placed on them."""
-        return frozenset(self._missing)
+        return frozenset(self._unclaimed)
 
     def handle(self, now: float, message: t.Any) -> list[t.Any]:
         """Process one message; return the resulting commands."""
@@ -156,12 +156,12 @@
         return self.state == "lapsed" and issued_at > self._begun_wall + self._skew_s
 
     def _due_claims(self, now: float, only: set[str] | None = None) -> list[t.Any]:
-        names = set(self._missing) if only is None else only
+        names = set(self._unclaimed) if only is None else only
         if not self.claims_new:
             names -= self._unlisted
-        due = [v for v, at in self._missing.items() if at <= now and v in names]
+        due = [v for v, at in self._unclaimed.items() if at <= now and v in names]
         for vm in due:
-            self._missing[vm] = now + CLAIM_RETRY_S
+            self._unclaimed[vm] = now + CLAIM_RETRY_S
         return [ClaimWorker(vm, self.epoch) for vm in due]
 
     def _process_reply(self, reply: ClaimReply) -> list[t.Any]:
@@ -170,8 +170,8 @@
         if not reply.accepted:
             return self._refused(reply)
         self._unlisted.discard(reply.vm)
-        if reply.vm in self._missing:
-            del self._missing[reply.vm]
+        if reply.vm in self._unclaimed:
+            del self._unclaimed[reply.vm]
             self._claimed.add(reply.vm)
         return []
 
@@ -183,8 +183,8 @@
 
     def _vm_change(self, now: float, message: t.Any) -> list[t.Any]:
         if isinstance(message, VmUpdate) and message.vm.name not in self._claimed:
-            if message.vm.name not in self._missing:
-                self._missing[message.vm.name] = 0.0
+            if message.vm.name not in self._unclaimed:
+                self._unclaimed[message.vm.name] = 0.0
                 self._unlisted.add(message.vm.name)
             # Only this VM is claimed here. The scheduler may not know the others yet;
             # the next tick claims them.
@@ -196,7 +196,7 @@
     def _vm_gone(self, now: float, vm: str) -> None:
         self._claimed.discard(vm)
         self._unlisted.discard(vm)
-        if self._missing.pop(vm, None) is not None:
+        if self._unclaimed.pop(vm, None) is not None:
             # The VM was never claimed, so it is not known which ids it ran until now.
             wall = now + self._wall_offset
             self._unknown_before = max(self._unknown_before, wall + self._skew_s)
@@ -204,7 +204,7 @@
     def _step(self, now: float) -> None:
         if self.state in ("complete", "superseded"):
             return
-        if not self._missing and self._list_read:
+        if not self._unclaimed and self._list_read:
             self._trigger("all_claimed")
         elif self._known and now >= self._wait_until:
             self._trigger("old_owner_lapsed")
