--- a/src/poplaryard/acquisition.py
+++ b/src/poplaryard/acquisition.py
@@ -33,8 +33,8 @@
 ) -> str | None:
     """Return the last owner of a shard if the shard is free, else None.
 
-    A shard is free if it was released or never owned, which returns "", or if the lease
-    of its owner has ended.
+    A shard is free if the lease of its owner has ended, or if it was released or never
+    owned; the result is "" if it was released or never owned.
     """
     entry = record.shards.get(shard)
     if entry is None or not entry.owner:
--- a/src/poplaryard/assignment.py
+++ b/src/poplaryard/assignment.py
@@ -17,8 +17,8 @@
 
 __all__ = ["Assignment", "Write"]
 
-# Interval at which each process reads the record, in case both members that watch it
-# fail unnoticed.
+# Interval at which each process reads the record. Only two members watch it and tell
+# the others of changes, and both may fail unnoticed.
 READ_S = 10.0
 
 # Shortest and longest wait before a failed release is retried. It is short because the
@@ -44,7 +44,8 @@
     takes : tuple of ShardTaken
         Notices for the shards that the write acquires.
     releases : bool
-        Whether the write releases shards. No owner renews their tasks meanwhile.
+        Whether the write releases shards. It is retried soon if it fails, because no
+        owner renews the leases of their tasks until it succeeds.
     previous_owner : str
         Owner from which the write takes a shard. It gets no promise until the write is
         resolved, because the write may take effect after the promise was given.
--- a/src/poplaryard/ejection.py
+++ b/src/poplaryard/ejection.py
@@ -73,6 +73,8 @@
 class Ejector:
     """Computes the weight of each VM from its recent results.
 
+    The VMs of one group form a class; each is compared with the others of its class.
+
     A VM that fails half of its recent attempts, or is much slower than its class, gets
     no work for a while, then a few probes, then a share that grows back to the full
     one. At most half of a class of VMs is ejected at a time.
@@ -80,7 +82,8 @@
 
     def __init__(self) -> None:
         self._vms: dict[str, _Health] = {}
-        # By class: VMs, ejected VMs, mean run time, and sum of the failed shares.
+        # By class: number of VMs, number of ejected VMs, mean ratio of actual to
+        # expected run time, and sum of the failed shares.
         self._class_sizes: dict[str, int] = {}
         self._ejected: dict[str, int] = {}
         self._run_times: dict[str, _MeanLogRatio] = {}
--- a/src/poplaryard/limits.py
+++ b/src/poplaryard/limits.py
@@ -40,7 +40,7 @@
         self._floor_per_s = floor_per_s
         self._burst = burst
         self._tokens = burst
-        self._at: float | None = None
+        self._updated_at: float | None = None
 
     def record_attempt(self, now: float) -> None:
         """Count a first attempt."""
@@ -55,8 +55,10 @@
         return True
 
     def _earn(self, now: float, tokens: float) -> None:
-        elapsed_s = 0.0 if self._at is None else max(0.0, now - self._at)
-        self._at = now
+        elapsed_s = (
+            0.0 if self._updated_at is None else max(0.0, now - self._updated_at)
+        )
+        self._updated_at = now
         earned = tokens + elapsed_s * self._floor_per_s
         self._tokens = min(self._burst, self._tokens + earned)
 
--- a/src/poplaryard/outcome.py
+++ b/src/poplaryard/outcome.py
@@ -87,9 +87,10 @@
         self._limit = limit
         self._entries: dict[str, _Entry] = {}
         self._by_attempt: dict[str, str] = {}
-        self._keys: dict[str, set[str]] = {}
-        # Scheduled removals (time, request id, answer), in the order of time. Requests
-        # that are idempotent have a queue of their own, as they are kept for less time.
+        # Requests with attempts in progress, by exclusive key.
+        self._key_holders: dict[str, set[str]] = {}
+        # Scheduled removals (time, request id, answer), ordered by time. Idempotent
+        # requests have a queue of their own, as they are kept for less time.
         self._removals: deque[tuple[float, str, Answer | None]] = deque()
         self._early_removals: deque[tuple[float, str, Answer | None]] = deque()
 
@@ -114,7 +115,8 @@
             only under a higher number; without numbers, it is accepted again unless it
             was cancelled.
         may_run_unreported : bool
-            Result of `Takeover.may_run_unreported` for this id.
+            Whether a non-idempotent id that no worker has reported may be run; see
+            `Takeover.may_run_unreported`.
         """
         self.expire(now)
         entry = self._entries.get(work.request_id)
@@ -135,7 +137,7 @@
             return False
         if task in entry.not_restartable or task in entry.attempts.values():
             return False
-        return not entry.exclusive_key or not self._keys.get(entry.exclusive_key)
+        return not entry.exclusive_key or not self._key_holders.get(entry.exclusive_key)
 
     def started(self, now: float, request_id: str, attempt_id: str, task: int) -> None:
         """Record an attempt; to be called before the start is sent."""
@@ -260,7 +262,7 @@
 
     def holder(self, exclusive_key: str) -> str | None:
         """Return the id of a request that runs under an exclusive key, or None."""
-        return min(self._keys.get(exclusive_key, ()), default=None)
+        return min(self._key_holders.get(exclusive_key, ()), default=None)
 
     def answer(self, request_id: str) -> Answer | None:
         """Return the answer of a request if it is known."""
@@ -334,7 +336,9 @@
         entry.attempts[attempt_id] = task
         self._by_attempt[attempt_id] = entry.request_id
         if entry.exclusive_key:
-            self._keys.setdefault(entry.exclusive_key, set()).add(entry.request_id)
+            self._key_holders.setdefault(entry.exclusive_key, set()).add(
+                entry.request_id
+            )
 
     def _close(self, attempt_id: str) -> tuple[_Entry | None, int]:
         request_id = self._by_attempt.pop(attempt_id, None)
@@ -348,11 +352,11 @@
         return entry, task
 
     def _release(self, entry: _Entry) -> None:
-        holders = self._keys.get(entry.exclusive_key)
+        holders = self._key_holders.get(entry.exclusive_key)
         if holders is not None:
             holders.discard(entry.request_id)
             if not holders:
-                del self._keys[entry.exclusive_key]
+                del self._key_holders[entry.exclusive_key]
 
     def _settle(self, now: float, entry: _Entry) -> Answer | None:
         """Answer a request if all its tasks have ended, or if a result is lost.
--- a/src/poplaryard/ownership.py
+++ b/src/poplaryard/ownership.py
@@ -39,9 +39,9 @@
 
 _CHART = load_chart("lease")
 
-# Additional wait of a candidate that the old owner did not know. Its take-over has to
-# wait for every claim and knows no VM that left before it started, so that it answers
-# more requests "unknown outcome" than that of an older member.
+# Additional wait of a candidate that the old owner did not know. Such a candidate must
+# wait for every claim and does not know the VMs that left before it started. It would
+# answer more requests "unknown outcome" than an older member.
 JOINER_WAIT_S = 1.0
 
 # Time between two acquisitions of one process: at most 2 shards per second.
@@ -249,8 +249,8 @@
         known = self._is_known(old, self.record)
         wait = lease_wait_s()
         if not old.owner or self.promises.is_dead(old.owner):
-            # No lease has ended here. A start that the old owner sent just before its
-            # end stays valid for up to the lease time.
+            # The old owner released the shard or died. A start that it sent just before
+            # stays valid for up to the lease time.
             wait += LEASE_TTL_S
         to_me = not old.owner and old.successor == self.process
         return ShardTaken(shard, epoch, old.owner, known, wait, handed_over=to_me)
@@ -410,11 +410,11 @@
 
     def _release_calls(self) -> list[t.Any]:
         mine = self.record.owned_by(self.process)
-        old = {
+        unconfigured = {
             shard: "" for shard in mine if self._shards and shard not in self._shards
         }
         refused = {k: "" for k, v in mine.items() if self._refused.get(k) == v}
-        pending = {**old, **refused, **self._releasing}
+        pending = {**unconfigured, **refused, **self._releasing}
         return self._release(pending) if pending else []
 
     def _balance(self, now: float) -> list[t.Any]:
@@ -461,7 +461,7 @@
     def _heartbeat(self, now: float, message: Heartbeat) -> list[t.Any]:
         if message.to != self.process:
             return []
-        out = self._process_info(now, message)
+        out = self._apply_heartbeat(now, message)
         write = self._assignment.write
         previous_owner = write.previous_owner if write else ""
         view = self._assignment.view
@@ -470,9 +470,9 @@
     def _heartbeat_reply(self, now: float, message: HeartbeatReply) -> list[t.Any]:
         if message.to != self.process:
             return []
-        return self._process_info(now, message) + self._authorities(now)
+        return self._apply_heartbeat(now, message) + self._authorities(now)
 
-    def _process_info(
+    def _apply_heartbeat(
         self, now: float, message: Heartbeat | HeartbeatReply
     ) -> list[t.Any]:
         self._heartbeats.receive(now, message)
@@ -501,7 +501,8 @@
         exclusive = True
     else:
         until, exclusive = now + AUTHORITY_S, False
-    # While the end moves on with each tick, it is announced about once a second only.
+    # The end of a renewed authority moves with each tick. It is announced only about
+    # once a second.
     if last and last.exclusive == exclusive and 0.0 <= until - last.until < 1.0:
         return None
     owned.announced = Authority(shard, owned.epoch, until, exclusive)
--- a/src/poplaryard/ownership_messages.py
+++ b/src/poplaryard/ownership_messages.py
@@ -292,9 +292,9 @@
     first : bool
         Whether the shard never had an owner before.
     handed_over : bool
-        Whether the shard was released to this process as its successor. `Takeover` gets
-        True only if the old owner also sends its whole ledger and had completed its own
-        take-over.
+        Whether the shard was released to this process as its successor. This alone does
+        not set `handed_over` of `Takeover`: the old owner must also have completed its
+        own take-over and have sent its whole ledger.
     """
 
     shard: str
--- a/src/poplaryard/reasons.py
+++ b/src/poplaryard/reasons.py
@@ -46,17 +46,17 @@
         return f"The work is larger than the limit of team {work.team}."
 
     def team_at_limit(self, job: Job) -> str:
-        """Return that the team of a job is at its limit or over its fair share."""
+        """Return the reason if the team is at its limit or over its fair share."""
         team = job.work.team
-        return f"Team {team} is at its limit, or has its share while others wait."
+        return f"Team {team} is at its limit or over its share while other teams wait."
 
     def kept_for_short(self, job: Job) -> str:
-        """Return that the free capacity is reserved for short work."""
-        return f"The room left in {self._shard} is kept for short work."
+        """Return the reason if the free capacity is reserved for short work."""
+        return f"The free capacity of {self._shard} is reserved for short work."
 
     def key_taken(self) -> str:
-        """Return that other work runs under the same exclusive key."""
-        return f"Other work runs under its exclusive key in {self._shard}."
+        """Return the reason if other work runs under the same exclusive key."""
+        return f"Other work with the same exclusive key runs in {self._shard}."
 
     def no_room(self, job: Job, charge: Resources) -> str:
         """Return which resource a job waits for: executors, or free capacity."""
--- a/src/poplaryard/replicas.py
+++ b/src/poplaryard/replicas.py
@@ -32,8 +32,8 @@
     def __init__(self, state: ShardState, preemptor: Preemptor):
         self._state = state
         self._preemptor = preemptor
-        # Job that stands for the replicas of a service while batch work is preempted
-        # for them; it holds the capacity that becomes free.
+        # Placeholder job of each service for whose replicas batch work is preempted; it
+        # holds the capacity that becomes free.
         self._making_room: dict[str, Job] = {}
         # Task number of the last hold in such a job; each hold gets a new number.
         self._last_hold_number = 0
@@ -113,7 +113,7 @@
                 del self._state.pools[name]
 
     def _settled(self, now: float) -> bool:
-        """Return whether no more answers to the claims of a take-over are awaited.
+        """Return whether the claims of a take-over are no longer waited for.
 
         Until then, replicas that already run may not be known yet, so none is started.
         """
--- a/src/poplaryard/results.py
+++ b/src/poplaryard/results.py
@@ -15,7 +15,7 @@
 
 __all__ = ["Results"]
 
-# Attempts at a task if its kind of work does not set a limit.
+# Largest number of attempts at a task whose kind of work sets no limit.
 MAX_ATTEMPTS = 3
 
 # Shortest wait before a failed or refused start is retried.
--- a/src/poplaryard/services.py
+++ b/src/poplaryard/services.py
@@ -13,8 +13,8 @@
 # may each fill them; together they must stay under the executor's 64 connections.
 MAX_SLOTS = 24
 
-# Time after which the replicas on a VM listed as leaving take no new requests. The
-# limit is 3 s after the VM starts to leave; 1 s of it is for the delay of the VM list.
+# Time after which the replicas on a VM listed as leaving take no new requests. A VM
+# must get none later than 3 s after it starts to leave; the VM list may be 1 s late.
 CLOSE_AFTER_S = 2.0
 
 # Time after which a replica of an outdated size is closed even without a successor, so
--- a/src/poplaryard/statechart.py
+++ b/src/poplaryard/statechart.py
@@ -13,8 +13,8 @@
 class Chart:
     """Transition table of a state chart; the caller stores the current state.
 
-    One chart serves any number of objects. A `transitions.Machine` for each VM would
-    take several KB each.
+    One chart serves any number of objects, because a separate `transitions.Machine` for
+    each VM would take several KB.
 
     Parameters
     ----------
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -42,7 +42,7 @@
         self.assertEqual(0.0, self.ejector.weight(1.0, "vm2"))
 
     def test_late_result_does_not_move_an_open_breaker(self):
-        """Guards against a VM that returns early by results of work started before."""
+        """Guards against an early return caused by work started before the ejection."""
         self.fail("vm0")
         for _ in range(10):
             self.ejector.record(1.0, "vm0", True, 0.01)
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -235,7 +235,10 @@
         self.assertTrue(group.taken("b#1")[-1].known)
 
     def test_uncertain_ownership_passes_to_the_next_owner(self):
-        """Guards against an owner before the last one that still has authority."""
+        """Guards against forgetting that an earlier owner may still have authority.
+
+        The last owner may have released the shard before it had claimed every worker.
+        """
         group = Group("a#1", shards=("dc1/0",))
         group.run(5)
         group.isolated.add("a#1")
