--- a/src/poplaryard/api.py
+++ b/src/poplaryard/api.py
@@ -53,6 +53,8 @@
 
 
 class _Common(_Model):
+    """Fields of the bodies of requests and jobs."""
+
     id: Id
     team: Label = "default"
     job_class: Label = ""
@@ -103,7 +105,7 @@
         """Return the code with which all requests are refused now, or None."""
 
     def defaults(self, work: Work, timeout_s: float | None) -> tuple[Work, float]:
-        """Return work with the defaults of its class, and its timeout in seconds."""
+        """Return work with its job class defaults, and its timeout in seconds."""
 
     def submit(self, work: Work, digest: str) -> "asyncio.Future[Answer] | Answer":
         """Submit a request; return its answer or a future of it.
@@ -281,6 +283,7 @@
         if isinstance(exc, RecursionError):
             raise CallError(Code.TOO_DEEP) from exc
         raise CallError(Code.MALFORMED, f"The body is not valid JSON: {exc}") from exc
+    # With fewer brackets than the limit, the value cannot be nested too deeply.
     if data.count(b"[") + data.count(b"{") > depth_limit:
         _check_depth(found, depth_limit)
     return found
@@ -332,7 +335,7 @@
 
 
 def error_response(code: Code, detail: str = "") -> Response:
-    """Return the response to a refused call."""
+    """Return the response that reports an error or a refusal."""
     body = {
         "code": int(code),
         "outcome": code.outcome,
--- a/src/poplaryard/app.py
+++ b/src/poplaryard/app.py
@@ -75,8 +75,8 @@
         self.monitor = Monitor(self)
         self.operator_service = self._new_operator_service()
         self._asgi = self._new_starlette()
-        self._starts: list[Hook] = []
-        self._stops: list[Hook] = []
+        self._start_hooks: list[Hook] = []
+        self._stop_hooks: list[Hook] = []
         self.on_start(self._start_tasks)
         self.on_start(self.operator_service.start)
         self.on_stop(self.operator_service.stop)
@@ -86,16 +86,16 @@
 
     def on_start(self, hook: Hook) -> None:
         """Add a hook that runs once the process listens; the first added runs first."""
-        self._starts.append(hook)
+        self._start_hooks.append(hook)
 
     def on_stop(self, hook: Hook) -> None:
         """Add a hook that runs when the process stops; the last added runs first."""
-        self._stops.append(hook)
+        self._stop_hooks.append(hook)
 
     async def start(self) -> None:
         """Start to listen, then run the start hooks in order."""
         await self._server.start()
-        for hook in self._starts:
+        for hook in self._start_hooks:
             await hook()
         self.state = "running"
         logger.info("started", extra={"address": self.address})
@@ -104,7 +104,7 @@
         """Run the stop hooks: hand over, finish open requests, close everything."""
         self.state = "stopping"
         logger.info("stopping", extra={"left": self.unfinished_work()})
-        for hook in reversed(self._stops):
+        for hook in reversed(self._stop_hooks):
             await hook()
         self.state = "stopped"
         logger.info("stopped")
--- a/src/poplaryard/context.py
+++ b/src/poplaryard/context.py
@@ -78,6 +78,7 @@
         found = requests.answer_of(request_id) or requests.answer_future(request_id)
         if found is not None:
             return found
+        # Watched before the query, as the answer may come before the explanation.
         watched = requests.watch_answer(request_id)
         explanation = await self._finder.explain(request_id, watch=True)
         return watched if explanation is not None else None
--- a/src/poplaryard/dispatch.py
+++ b/src/poplaryard/dispatch.py
@@ -109,7 +109,7 @@
             await task.stop()
 
     async def wait_until_idle(self, timeout_s: float) -> None:
-        """Wait until the shards here have answered all their requests, or a timeout."""
+        """Wait until the shards have answered all requests, for at most `timeout_s`."""
         waits = [
             asyncio.ensure_future(task.idle.wait()) for task in self.shards.values()
         ]
@@ -185,8 +185,8 @@
     def _look_up_open(self, request_id: str, reply_to: str) -> str | None:
         """Return the state of a request open here; None if it is not open.
 
-        The process `reply_to` gets the answer when there is one, and no explanation if
-        it is this process.
+        If `reply_to` names another process, the answer is sent to it when there is one.
+        If it names this process, return None.
         """
         fut = self.requests.answer_future(request_id)
         if fut is None or reply_to == self.process:
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -72,9 +72,10 @@
     unresolved : Counter of str
         Processes that may have accepted the request and have not answered, with the
         number of copies sent to them.
-    sent_at, retry_at : float
-        Time of the last send, 0 to resend at the next check; and of the next retry, 0
-        if none is scheduled.
+    sent_at : float
+        Time of the last send; 0 to resend at the next check.
+    retry_at : float
+        Time of the next retry; 0 if none is scheduled.
     last_code : Code
         Reason for the last failure to send the request or to get it accepted.
     """
--- a/src/poplaryard/exchange.py
+++ b/src/poplaryard/exchange.py
@@ -28,8 +28,8 @@
 
 __all__ = ["Exchange"]
 
-# Minimum pause after a failed read of the configuration or the VM list; up to twice
-# this, at random.
+# Pause after a failed read of the configuration or the VM list; multiplied by a random
+# factor between 1 and 2.
 LIST_RETRY_S = 1.0
 
 
@@ -89,7 +89,7 @@
         return None
 
     def send(self, process: str, envelope: Envelope) -> None:
-        """Send a message to a peer; answers use a held reply to it if there is one."""
+        """Send a message to a peer; add an answer to a held reply if there is one."""
         answer = isinstance(envelope.message, Answer)
         if not (answer and self._app.peers.send_with_reply(process, envelope.message)):
             self._app.peers.send(process, envelope)
--- a/src/poplaryard/lookup.py
+++ b/src/poplaryard/lookup.py
@@ -12,7 +12,8 @@
 __all__ = ["Finder", "Lookup", "LookupReply"]
 
 CALL_TIMEOUT_S = 1.0
-# Rounds of calls; together they outlast a take-over, whose new owner can then be asked.
+# Maximum number of rounds of calls. Together they take longer than a take-over, so that
+# the new owner of a shard is asked as well.
 ROUNDS = 60
 ROUND_WAIT_S = 0.2
 
--- a/src/poplaryard/ownership_io.py
+++ b/src/poplaryard/ownership_io.py
@@ -44,8 +44,8 @@
 PAUSE_S = 0.5
 WATCH_WAIT_S = 20.0
 WATCH_RETRY_S = 1.0
-# A heartbeat without a reply after this time counts as missed. The next one is sent a
-# second after the last.
+# Timeout of a heartbeat, after which it counts as missed. Shorter than the interval
+# `membership.HEARTBEAT_S`, so that it ends before the next heartbeat is sent.
 HEARTBEAT_TIMEOUT_S = 0.9
 
 Notify: t.TypeAlias = t.Callable[[t.Any], None]
@@ -215,7 +215,8 @@
     async def _read_record(self) -> RecordSeen:
         """Read the record, then the member keys.
 
-        In this order, a lease of the record without a member key has ended.
+        A member key is written before the record names its lease. So if the keys are
+        read last, a lease in the record that has no key has ended.
         """
         entry = await self._store.get(self._record_key)
         members = await self._store.scan(self._member_prefix)
--- a/src/poplaryard/peers.py
+++ b/src/poplaryard/peers.py
@@ -25,8 +25,8 @@
 # Maximum number of concurrent calls to one peer; further messages wait.
 CALLS_PER_PEER = 24
 # Time for which the reply to a call is held back so that it can carry the answers to
-# the requests of the call. Each answer sent so saves a call, which costs more than half
-# a millisecond of processor time on both sides together.
+# the requests of the call. Each answer in it saves a call, which costs more than half a
+# millisecond of processor time on both sides together.
 HOLD_S = 0.02
 CALL_TIMEOUT_S = 2.0
 # Largest body of a batch; 256 messages of up to 256 KB each could be far larger.
@@ -285,9 +285,10 @@
             self.receive(process, _decode(item, now))
 
     def is_addressee(self, process: str) -> bool:
-        """Return whether a batch is for this process, not for an earlier one here.
+        """Return whether a batch addressed to `process` is for this process.
 
-        Senders that know no process id address the batch to the network address.
+        It is not if it names an earlier process with the same network address. Senders
+        that know no process id give the network address instead.
         """
         return process in (self._process, self._address)
 
--- a/src/poplaryard/retention.py
+++ b/src/poplaryard/retention.py
@@ -1,4 +1,4 @@
-"""Store leases whose end deletes old records, so that no deletes are written."""
+"""Leases that make the store delete old records, without explicit deletes."""
 
 from .clock import Clock
 from .store import Store
--- a/src/poplaryard/settings.py
+++ b/src/poplaryard/settings.py
@@ -79,7 +79,7 @@
     peer_in_flight : int
         Maximum number of messages in flight to one peer.
     default_timeout_s : float
-        Timeout of requests that give none and whose class has none, in seconds.
+        Timeout in seconds of requests that give none and whose job class has none.
     shutdown_s : float
         Time limit of a graceful stop, in seconds.
     """
--- a/src/poplaryard/shard_map.py
+++ b/src/poplaryard/shard_map.py
@@ -12,7 +12,7 @@
 
 
 class ShardMap:
-    """Shards of a cell under one configuration.
+    """Shards of a cell under its current configuration.
 
     The home shard of a key depends only on the data centres and the number of shards.
     So two processes agree on it even while a ticket that changes VMs comes into force.
@@ -77,8 +77,8 @@
     def _eligible_shards(self, work: Work) -> list[str]:
         """Return the shard of each VM that fits: those of this data centre, else all.
 
-        A shard is listed once per VM that fits, so that it gets work in proportion.
-        Shards of a data centre with few VMs differ widely in size.
+        A shard is listed once per VM that fits, so that it gets work in proportion to
+        its size; in a data centre with few VMs, shards differ widely in size.
         """
         group, need = work.group, work.need
         if work.kind is WorkKind.REQUEST:
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -18,8 +18,8 @@
 CALLER_KEY = "caller-key-1"
 OPERATOR_KEY = "operator-key-1"
 WORKERS = 4
-# A test fails when it reaches this timeout or `ANSWER_TIMEOUT_S`; it never passes
-# because of one.
+# A test that reaches this timeout or `ANSWER_TIMEOUT_S` fails; none passes by waiting
+# for one of them to end.
 READY_TIMEOUT_S = 30.0
 SUBMIT_INTERVAL_S = 0.025
 ANSWER_TIMEOUT_S = 60.0
@@ -40,9 +40,9 @@
 
 
 class Processes:
-    """Stand-ins for the platform and four workers, and entry processes, as processes.
+    """Subprocesses of one data centre.
 
-    All belong to one data centre.
+    They are stand-ins for the platform and four workers, and the entry processes.
     """
 
     def __init__(self, entries=3, shards=3):
--- a/tests/test_centres.py
+++ b/tests/test_centres.py
@@ -64,7 +64,7 @@
         self.clock.advance(RETRY_S + 0.1)
         self.assertEqual("q#1", self.owner())
 
-    def test_view_is_fetched_again_after_its_owner_is_silent(self):
+    def test_view_is_fetched_again_after_a_silent_owner(self):
         """Guards against a cached owner that is kept after it has failed."""
         self.answers["a:1"] = OwnersView("dc2", {"dc2/0": "q#1"}, {})
         self.owner()
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -85,9 +85,10 @@
         self.run_with(scenario)
 
     def test_replies_come_back_with_the_call(self):
-        """Guards against replies without the time at which their call was sent.
+        """Guards against replies that do not come in the response to the call.
 
-        A promise in the reply to a heartbeat counts from the sending of the heartbeat.
+        A promise in the reply to a heartbeat counts from the sending of the heartbeat,
+        so the reply has to follow at once.
         """
 
         async def scenario(one, two):
