--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -54,6 +54,7 @@
 _RETRY_PAUSE_S = 0.01
 # How long the uid record with the text of a ticket, and its history entry, are kept.
 RETENTION_S = 30 * 86_400.0
+# Records written within this time share one lease in the store.
 _LEASE_SPAN_S = 3600.0
 
 
@@ -94,8 +95,8 @@
         try:
             check_size(objects, ticket_json)
             if self._lock.locked() and ticket.based_on is None:
-                # The ticket is based on the head as it is now: its author cannot have
-                # seen the tickets that are accepted while this one waits.
+                # A ticket without a base is based on the last ticket before its wait:
+                # its author cannot have seen those that are accepted during the wait.
                 filing.number_seen = (await read_head(self._store))[0].number
             async with self._lock:
                 return await self._file_with_retries(filing)
@@ -148,7 +149,7 @@
     async def _put_uid_record(
         self, filing: Filing, head: Head
     ) -> AcceptedTicket | None:
-        """Write the uid record, so that the ticket may be accepted after a head.
+        """Write the uid record for an attempt to accept the ticket right after a head.
 
         Returns
         -------
@@ -313,7 +314,7 @@
     async def _swap_head(
         self, filing: Filing, next_head: Head, version: int
     ) -> FileResult | None:
-        """Replace the head of a version; return None if that failed or is unknown."""
+        """Replace the head if it has a version; return None if this may have failed."""
         value = next_head.to_json()
         if tickets.json_size(value) > MAX_VALUE_BYTES:
             detail = "There are too many objects for one head record; remove some."
--- a/src/poplaryard/compaction.py
+++ b/src/poplaryard/compaction.py
@@ -62,7 +62,7 @@
         for index, part in enumerate(parts):
             if not await self._put_part(snapshot_key(head.number, index), part):
                 return False
-        if not await self._put_in_force(head.number, len(parts)):
+        if not await self._update_head(head.number, len(parts)):
             return False
         await self._delete_stale()
         return True
@@ -81,7 +81,7 @@
                     return bool(held.value == part)
         return False
 
-    async def _put_in_force(self, number: int, parts: int) -> bool:
+    async def _update_head(self, number: int, parts: int) -> bool:
         """Let the head refer to a snapshot, and return whether it does."""
         for _ in range(_ROUNDS):
             head, entry = await read_head(self._store)
@@ -98,9 +98,9 @@
     async def _delete_stale(self) -> None:
         """Delete values that are not needed to load the configuration in force.
 
-        No value that a later head refers to is lost. A process that has written values
-        under a planned number up to the snapshot's number writes them again if it has
-        read a head with this snapshot; with an older head its swap cannot succeed.
+        Among them may be values that a pending ticket has written under a planned
+        number up to that of the snapshot. This is safe: an attempt that has read a head
+        with this snapshot writes them again, and one with an older head cannot swap it.
         """
         head, _entry = await read_head(self._store)
         objects = await self._store.scan("config/object/")
--- a/src/poplaryard/config_loader.py
+++ b/src/poplaryard/config_loader.py
@@ -130,7 +130,7 @@
         """Return the changes up to a head, or None if one of its objects is missing."""
         held = self.state.refs
         wanted = {key: ref for key, ref in head.objects.items() if held.get(key) != ref}
-        found: _ObjectValues = {
+        changes: _ObjectValues = {
             key: (f"{head.last_change(key)}-", None)
             for key in held
             if key not in head.objects
@@ -139,16 +139,16 @@
         # is the source of deltas for peers that may hold them.
         for key, number in head.removed.items():
             if number > self.state.number:
-                found[key] = (f"{number}-", None)
+                changes[key] = (f"{number}-", None)
         if head.snapshot > self.state.number:
-            found |= await self._read_snapshot(head, wanted)
-        wanted = {key: ref for key, ref in wanted.items() if key not in found}
-        read = await self._read_objects(wanted)
-        if read is None:
+            changes |= await self._read_snapshot(head, wanted)
+        wanted = {key: ref for key, ref in wanted.items() if key not in changes}
+        values = await self._read_objects(wanted)
+        if values is None:
             return None
         # The delta comes from a comparison of all references, so it has no gap even if
         # this state is older than the horizon of the head.
-        return Delta(self.state.number, head.number, found | read, head.horizon)
+        return Delta(self.state.number, head.number, changes | values, head.horizon)
 
     async def _read_snapshot(
         self, head: Head, wanted: t.Mapping[str, str]
--- a/src/poplaryard/configuration.py
+++ b/src/poplaryard/configuration.py
@@ -49,7 +49,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """Long-running service whose replicas execute requests."""
+    """Long-running service whose replicas execute requests.
+
+    Attributes
+    ----------
+    slots : int
+        Number of requests that a replica serves at a time.
+    connections : int
+        Stored, but not used by the scheduler.
+    group : str
+        VM group that the replicas run on; empty for any.
+    queue_limit : int
+        Most requests that wait for the service.
+    drain_s : float
+        Stored, but not used by the scheduler.
+    """
 
     name: str
     team: str
@@ -105,7 +119,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """Scheduling policy parameters, set by ticket."""
+    """Scheduling policy parameters, set by ticket.
+
+    Attributes
+    ----------
+    headroom : float
+        Share of the capacity that only urgent work may use.
+    short_s : float
+        Run time up to which work counts as short, in seconds.
+    short_share : float
+        Least share of the capacity that long work which cannot be checkpointed must
+        leave free for short work.
+    queue_limit : int
+        Most entries that wait in one class of work.
+    retry_budget, urgent_s : float
+        Stored, but not used by the scheduler.
+    """
 
     shards_per_data_centre: int = 1
     headroom: float = 0.0
--- a/src/poplaryard/filing.py
+++ b/src/poplaryard/filing.py
@@ -96,7 +96,7 @@
 
     @property
     def base(self) -> int:
-        """Ticket number after which another change of the same object is a conflict."""
+        """Ticket number that the ticket is based on; later changes are conflicts."""
         return 0 if self.record is None else int(self.record.value["base"])
 
 
@@ -194,7 +194,7 @@
         for field in sorted(theirs.keys() | ours.keys())
         if theirs.get(field) != ours.get(field)
     ]
-    return f" ({'; '.join(parts)})" if parts else " (to the same state)"
+    return f" ({'; '.join(parts)})" if parts else " (to the state in this ticket)"
 
 
 def _shorten(value: t.Any) -> str:
--- a/src/poplaryard/head.py
+++ b/src/poplaryard/head.py
@@ -37,7 +37,7 @@
 # HISTORY_BLOCK of them move to a history block.
 HEAD_TICKETS = 256
 HISTORY_BLOCK = 128
-_MAX_ENTRY_KEYS = 8
+_MAX_LISTED_KEYS = 8
 
 
 def object_key(key: str, ref: str) -> str:
@@ -100,7 +100,7 @@
             ticket.author,
             at,
             digest,
-            keys[:_MAX_ENTRY_KEYS],
+            keys[:_MAX_LISTED_KEYS],
             len(keys),
             ticket.note[:80],
         )
@@ -138,7 +138,7 @@
     removed : mapping
         Key of a removed object to the number of the ticket that removed it.
     horizon : int
-        `removed` may lack removals by tickets up to this number.
+        Ticket number up to which removals may be missing from `removed`.
     tickets : tuple of AcceptedTicket
         Last accepted tickets, without gaps, oldest first.
     snapshot : int
@@ -257,7 +257,7 @@
         Object key to its reference and JSON value; a value of None removes the object.
         The pair is a tuple, or a list after decoding from JSON.
     horizon : int
-        Removals up to this number may be missing.
+        Ticket number up to which removals may be missing from `objects`.
     """
 
     base: int
@@ -273,8 +273,9 @@
     Attributes
     ----------
     removed : mapping
-        Key of a removed object to the number of the ticket that removed it; complete
-        for tickets after `horizon`.
+        Key of a removed object to the number of the ticket that removed it.
+    horizon : int
+        Ticket number up to which removals may be missing from `removed`.
     """
 
     config: Configuration = field(default_factory=Configuration)
--- a/src/poplaryard/rollout.py
+++ b/src/poplaryard/rollout.py
@@ -100,8 +100,10 @@
         self._next_report = 0.0
         self._watcher_heard_at = -WATCHER_TIMEOUT_S
         self._lag_since: float | None = None
+        # Peer to the earliest time of the next request to it.
         self._next_ask: dict[str, float] = {}
         self._delayed_load: tuple[float, Head] | None = None
+        # Counter that selects the peers of each other data centre in turn.
         self._rotation = 0
 
     @property
--- a/src/poplaryard/ticket_objects.py
+++ b/src/poplaryard/ticket_objects.py
@@ -33,7 +33,7 @@
     ServiceSpec | BatchSpec | VmGroupSpec | TeamSpec | WorkKindSpec | Policy
 )
 
-# Factors to thousandths of a core, MB and seconds. MB and MiB are the same here.
+# Factors to thousandths of a core, MB and seconds. GB and GiB are both 1024 MB.
 _CPU_UNITS = {"": 1000, "core": 1000, "cores": 1000, "m": 1}
 _MEMORY_UNITS = {"mb": 1, "mib": 1, "gb": 1024, "gib": 1024, "tb": 1024 * 1024}
 _TIME_UNITS = {"": 1.0, "ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
@@ -95,6 +95,8 @@
 
 
 class _Sized(_Model):
+    """Base of objects with an amount of CPU, memory and GPUs."""
+
     cpu: Cpu
     memory: Memory
     gpus: Count = 0
@@ -188,7 +190,7 @@
             raise ValueError("gives the same address to two VMs")
         unknown = sorted(set(self.leaving) - names)
         if unknown:
-            raise ValueError(f"says that {unknown[0]} leaves, but does not list it")
+            raise ValueError(f"lists {unknown[0]} as leaving, but not among its VMs")
         return self
 
     def spec(self) -> VmGroupSpec:
--- a/tests/test_acceptance.py
+++ b/tests/test_acceptance.py
@@ -31,7 +31,7 @@
     def config(self):
         return asyncio.run(load(self.store))
 
-    def test_two_filers_of_one_object_make_one_winner(self):
+    def test_concurrent_tickets_for_one_object_conflict(self):
         """Guards against one operator's change silently overwriting another's."""
 
         async def both():
@@ -62,7 +62,7 @@
         codes = [result.code for result in asyncio.run(both())]
         self.assertEqual([Code.TICKET_ACCEPTED, Code.TICKET_CONFLICT], codes)
 
-    def test_filers_of_different_objects_both_win(self):
+    def test_concurrent_tickets_for_different_objects_are_accepted(self):
         """Guards against conflicts between concurrent tickets for different objects."""
 
         async def both():
@@ -125,13 +125,14 @@
             self.assertEqual(overtakers + 121, first.number)
             self.assertEqual(first.number, again.number)
 
-    def test_outage_at_any_call_leaves_nothing_and_says_so(self):
+    def test_fault_at_any_call_leaves_no_partial_change(self):
         """Guards against a ticket that is partly in force after an outage."""
         for position in range(12):
             for fault in ("down", "lost", "dropped"):
                 self._check_fault(position, fault)
 
     def _check_fault(self, position, fault):
+        """Check that the configuration is at 2 if the ticket is accepted, else at 1."""
         store = FakeStore()
         one, two = acceptances(store)
         asyncio.run(one.file(ticket("uid-0", service("other"))))
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -50,8 +50,11 @@
 class Simulation:
     """Simulated processes of two data centres, a store and a network.
 
-    A message stays in `network` until a test delivers it. `states` has the state after
-    each ticket. Messages of the processes in `cut` are lost.
+    A message stays in `network` until a test delivers it; messages from and to the
+    processes in `cut` are lost. `states` holds the state after each ticket, by number.
+    `names` maps each data centre to its processes; those in `live` run, and those in
+    `watching` watch the store. `last_numbers` holds the number of each process at the
+    last check.
     """
 
     def __init__(self, sizes=(4, 2)):
@@ -296,7 +299,7 @@
         sim.settle()
         self.assertFalse(any(r.ready for r in sim.rollouts.values()))
 
-    def test_empty_store_makes_ready(self):
+    def test_process_is_ready_with_an_empty_store(self):
         """Guards against a new installation that never takes its first ticket."""
         sim = Simulation()
         sim.settle()
--- a/tests/test_tickets.py
+++ b/tests/test_tickets.py
@@ -104,7 +104,10 @@
         self.assertIn(
             "address", self.refused_detail({**group, "vms": [group["vms"][0], same]})
         )
-        self.assertIn("leaves", self.refused_detail({**group, "leaving": ["nobody"]}))
+        self.assertIn(
+            "lists nobody as leaving",
+            self.refused_detail({**group, "leaving": ["nobody"]}),
+        )
 
     def test_apply_does_not_change_the_old_configuration(self):
         """Guards against a change that is visible to readers of the old state."""
