--- a/src/poplaryard/audit.py
+++ b/src/poplaryard/audit.py
@@ -16,12 +16,12 @@
 # A group is flushed when its oldest event is this old or this many events wait.
 FLUSH_S = 10.0
 FLUSH_ENTRIES = 500
-# A group of this many entries of at most 400 bytes stays below the 1 MB value limit.
+# A group of this many events of at most 400 bytes stays below the 1 MB value limit.
 GROUP_ENTRIES = 2000
 # Capacity of the ring buffer of a process, in events.
 RING_ENTRIES = 20_000
-# Minimum interval between the flushes of a process, so that 120 processes make at
-# most 120 writes/s.
+# Minimum interval between the flushes of a process. A cluster of 120 processes then
+# makes at most 120 writes/s to the store.
 MIN_FLUSH_S = 1.0
 RETENTION_S = 7 * 86_400.0
 # The groups of one hour share a lease; the store deletes them when the lease lapses.
@@ -187,9 +187,10 @@
         self._next_number += 1
 
     async def _resolve_conflict(self, value: dict[str, t.Any], lease: str) -> None:
-        """Handle a key that exists because the reply to an earlier write was lost.
+        """Complete a write that the store refused with a conflict.
 
-        A conflict without an entry means that the retention lease has lapsed.
+        If the key exists, the reply to an earlier write of the group was lost. If it
+        does not, the retention lease has lapsed, and `StoreDown` is raised.
         """
         stored = await self._store.get(self._key())
         if stored is None:
@@ -225,4 +226,5 @@
 
 def _decode_events(value: t.Mapping[str, t.Any]) -> t.Iterator[AuditEvent]:
     for item in value["events"]:
+        # Empty fields are not stored, and `action` has no default.
         yield AuditEvent(**{"action": "", "at": 0.0, **item})
--- a/src/poplaryard/operator_context.py
+++ b/src/poplaryard/operator_context.py
@@ -23,14 +23,14 @@
 
 
 class OperatorService:
-    """Operator context of one process: tickets, status and audit trail.
+    """Implementation of `OperatorContext` in a server process.
 
     Parameters
     ----------
     notify : callable
         Passes a head read from the store, or a failed read, to the rollout's task.
     health_fields : callable
-        Returns the fields of `Health` that the rollout does not know.
+        Returns the fields of `Health` that do not come from the rollout.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
     async def status(self) -> tuple[Health, list[Alarm], str]:
         """Return the health, the alarms and the status as text.
 
-        Only the watchers read the store regularly, so the head is read here.
+        The head is read from the store first, as most processes do not poll it.
         """
         try:
             self._notify(HeadSeen(await self.head()))
--- a/src/poplaryard/operators.py
+++ b/src/poplaryard/operators.py
@@ -39,7 +39,7 @@
 
 
 class OperatorContext(t.Protocol):
-    """Interface of the application to the operator routes.
+    """Interface that the operator routes call.
 
     Attributes
     ----------
@@ -118,17 +118,17 @@
 
 def operator_routes(context: OperatorContext) -> list[Route]:
     """Return the routes for operators."""
-    routes = _Operators(context)
+    handlers = _Operators(context)
     ticket_path = "/v1/tickets/{number:int}"
     return [
-        Route("/v1/tickets", routes.file, methods=["POST"]),
-        Route("/v1/tickets/check", routes.check, methods=["POST"]),
-        Route("/v1/tickets", routes.list, methods=["GET"]),
-        Route(ticket_path, routes.show, methods=["GET"]),
-        Route(f"{ticket_path}/wait", routes.wait, methods=["GET"]),
-        Route("/v1/objects/{kind}/{name}", routes.object, methods=["GET"]),
-        Route("/v1/status", routes.status, methods=["GET"]),
-        Route("/v1/audit", routes.audit, methods=["GET"]),
+        Route("/v1/tickets", handlers.file, methods=["POST"]),
+        Route("/v1/tickets/check", handlers.check, methods=["POST"]),
+        Route("/v1/tickets", handlers.list, methods=["GET"]),
+        Route(ticket_path, handlers.show, methods=["GET"]),
+        Route(f"{ticket_path}/wait", handlers.wait, methods=["GET"]),
+        Route("/v1/objects/{kind}/{name}", handlers.object, methods=["GET"]),
+        Route("/v1/status", handlers.status, methods=["GET"]),
+        Route("/v1/audit", handlers.audit, methods=["GET"]),
     ]
 
 
@@ -179,10 +179,10 @@
     @require_operator_key
     async def wait(self, request: Request) -> Response:
         number = request.path_params["number"]
-        left = _number_param(request, "timeout_s", 10.0, WAIT_LIMIT_S)
-        while (missing := self.context.missing(number)) and left > 0:
+        remaining_s = _number_param(request, "timeout_s", 10.0, WAIT_LIMIT_S)
+        while (missing := self.context.missing(number)) and remaining_s > 0:
             await asyncio.sleep(_WAIT_POLL_S)
-            left -= _WAIT_POLL_S
+            remaining_s -= _WAIT_POLL_S
         return _json_response(
             {"number": number, "in_force": not missing, "missing": missing}
         )
--- a/src/poplaryard/standin.py
+++ b/src/poplaryard/standin.py
@@ -46,7 +46,7 @@
 async def _run_platform(port: int) -> None:
     host = PlatformHost()
     click.echo(f"listening on {await host.start(port=port)}")
-    # No work is lost if the process ends on a second signal.
+    # A second signal ends the process at once; a stand-in has no work to lose.
     await StopSignal(lambda: "nothing").wait()
     await host.stop()
 
--- a/src/poplaryard/standin_platform_http.py
+++ b/src/poplaryard/standin_platform_http.py
@@ -65,9 +65,9 @@
 
     def list_vms(self) -> list[dict[str, t.Any]]:
         """Return the VM list as it was `list_lag_s` ago."""
-        limit = time.monotonic() - self.faults.list_lag_s
+        cutoff = time.monotonic() - self.faults.list_lag_s
         for vm in self.vms.values():
-            if vm.since <= limit:
+            if vm.since <= cutoff:
                 vm.listed = _encode_vm(vm)
         return [vm.listed for vm in self.vms.values() if vm.listed]
 
--- a/src/poplaryard/status.py
+++ b/src/poplaryard/status.py
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Health:
-    """State from which the alarms are derived; unknown fields keep their defaults.
+    """State from which the alarms are derived; a field without data has its default.
 
     Attributes
     ----------
@@ -32,20 +32,22 @@
     behind_s : float
         Seconds since `number` came into force here.
     centres : mapping
-        Name of each other data centre to its lowest confirmed number and the age of
-        its last report in seconds.
+        Maps the name of each other data centre to its lowest confirmed number and the
+        age of its last report in seconds.
     unreadable : int
         Changes from peers that this version could not read.
     audit_waiting, audit_lost, audit_failures : int
-        Audit entries not yet stored, entries dropped, and failed writes.
+        Audit events not yet stored, events dropped, and failed writes.
     suspected : tuple of str
         Processes whose heartbeats are missing.
     ownerless : tuple of str
         Shards of this data centre without an owner.
+    ejected_vms : tuple of str
+        VMs that get at most a few trial starts, since starts kept failing on them.
     queued, shed : int
         Waiting tasks, and requests refused for lack of capacity in the last minute.
     services : mapping
-        Name of each service to its wanted and running replicas.
+        Maps the name of each service to its wanted and running replicas.
     never_fits : tuple of str
         One sentence for each service or batch job that can never be placed.
     """
@@ -84,7 +86,7 @@
     now : float
         Monotonic time in seconds.
     **fields
-        Fields of `Health` that the rollout does not know.
+        Fields of `Health` that do not come from the rollout.
     """
     return Health(
         process=rollout.process,
@@ -106,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Alarm:
-    """Fault for the operator, described in plain sentences.
+    """Fault reported to the operator in plain sentences.
 
     Attributes
     ----------
@@ -123,7 +125,7 @@
     since: float = 0.0
 
 
-# Name of each alarm to its `doing` and `action`.
+# Maps the name of each alarm to its `doing` and `action`.
 ALARMS: dict[str, tuple[str, str]] = {
     "not-ready": (
         "It asks the store and the listed peers every second, and takes no requests.",
@@ -196,6 +198,7 @@
     ),
 }
 
+# Pairs of the name of an alarm and its `what`.
 _Findings = Iterator[tuple[str, str]]
 
 
@@ -304,7 +307,7 @@
         return sorted(alarms, key=lambda alarm: alarm.since)
 
     def never_fits(self, config: Configuration) -> tuple[str, ...]:
-        """Return what can never be placed, computed once per configuration."""
+        """Return the result of `unplaceable`, computed once per configuration."""
         if config is not self._checked_config:
             self._checked_config, self._never_fits = config, tuple(unplaceable(config))
         return self._never_fits
--- a/src/poplaryard/ticket_check.py
+++ b/src/poplaryard/ticket_check.py
@@ -32,7 +32,7 @@
     errors : tuple of str
         Reasons why the ticket would be refused.
     warnings : tuple of str
-        What would be accepted but can never work or is probably a mistake.
+        Parts that would be accepted but are probable mistakes or can never work.
     """
 
     number: int
@@ -169,7 +169,11 @@
 
 
 def _references(config: Configuration) -> t.Iterator[tuple[str, str, str]]:
-    """Yield each reference: referring object, mapping of the target, target name."""
+    """Yield the references between objects.
+
+    Each is a tuple of the referring object, the attribute of `Configuration` that holds
+    objects of the target's kind, and the target's name.
+    """
     for service in config.services.values():
         yield f"service {service.name}", "teams", service.team
         yield f"service {service.name}", "vm_groups", service.group
@@ -223,10 +227,10 @@
     for name in ("replicas", "tasks", "slots", "weight", "shards_per_data_centre"):
         if hasattr(spec, name):
             found[name] = getattr(spec, name)
-    need = getattr(spec, "need", None) or getattr(spec, "limit", None)
-    if need is not None:
-        found["cpu in cores"] = need.cpu_m / 1000
-        found["memory in MB"] = need.mem_mb
+    amount = getattr(spec, "need", None) or getattr(spec, "limit", None)
+    if amount is not None:
+        found["cpu in cores"] = amount.cpu_m / 1000
+        found["memory in MB"] = amount.mem_mb
     return found
 
 
@@ -301,8 +305,8 @@
 def _explain_unplaceable(
     config: Configuration, spec: _WorkSpec, capacities: t.Mapping[Resources, int]
 ) -> str:
-    service = isinstance(spec, ServiceSpec)
-    label = f"{'service' if service else 'batch'} {spec.name}"
+    is_service = isinstance(spec, ServiceSpec)
+    label = f"{'service' if is_service else 'batch'} {spec.name}"
     team = config.teams.get(spec.team)
     if not any(spec.need.fits_in(capacity) for capacity in capacities):
         largest = max(capacities, key=lambda capacity: capacity.cpu_m, default=None)
@@ -323,14 +327,14 @@
     wanted = spec.replicas if isinstance(spec, ServiceSpec) else spec.tasks
     # The tasks of a batch job that is not a gang can run one after the other, so a VM
     # that holds one task is enough.
-    if not service and not getattr(spec, "gang", False):
+    if not is_service and not getattr(spec, "gang", False):
         return ""
     fitting = sum(
         _count_fitting(spec.need, capacity) * count
         for capacity, count in capacities.items()
     )
     if fitting < wanted:
-        what = "replicas" if service else "tasks of the gang"
+        what = "replicas" if is_service else "tasks of the gang"
         return f"Only {fitting} of {wanted} {what} of {label} can ever run at once."
     return ""
 
@@ -342,7 +346,7 @@
         (need.mem_mb, capacity.mem_mb),
         (need.gpus, capacity.gpus),
     )
-    # A need of nothing fits any number of times, hence the large default.
+    # A need of no resources fits any number of times, hence the large default.
     return max(
         0,
         min(
--- a/src/poplaryard/ticket_cli.py
+++ b/src/poplaryard/ticket_cli.py
@@ -32,6 +32,7 @@
 EXIT_UNKNOWN = 3
 
 _F = t.TypeVar("_F", bound=t.Callable[..., t.Any])
+# Codes that leave open whether a ticket was accepted.
 _UNKNOWN_CODES = (Code.TICKET_UNKNOWN, Code.PEER_TIMEOUT, Code.INTERNAL)
 
 
@@ -323,7 +324,7 @@
         accepted = server.get_or_exit(f"/v1/tickets/{source}")["ticket"]
         if accepted is None:
             exit_with("The text of this ticket is no longer kept.", EXIT_REFUSED)
-        # The base is left out, as a comparison does not depend on the order of tickets.
+        # `based_on` is cleared: the order of tickets does not matter to a comparison.
         data = json.dumps({**accepted, "based_on": None}).encode()
     else:
         with click.open_file(source, "rb") as file:
@@ -380,7 +381,7 @@
 
 
 def _parse_since(text: str, wall: float) -> float:
-    """Return the time of an age or a date, in seconds since the Unix epoch."""
+    """Return the time given as an age or a date, in seconds since the Unix epoch."""
     match = re.fullmatch(r"([0-9]{1,9}) ?(s|min|h|d)", text.strip())
     if match:
         return max(0.0, wall - int(match[1]) * _UNIT_SECONDS[match[2]])
--- a/src/poplaryard/ticket_template.py
+++ b/src/poplaryard/ticket_template.py
@@ -72,7 +72,7 @@
     number: int | None,
     wall: float,
 ) -> str:
-    """Return the commented text of a ticket that sets one object.
+    """Return the text, with comments, of a ticket that sets one object.
 
     Parameters
     ----------
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -73,7 +73,7 @@
         return messages[0]["status"], json.loads(text)
 
 
-def body(uid="uid-1", *objects, **fields):
+def ticket_body(uid="uid-1", *objects, **fields):
     objects = list(objects) or [service()]
     return {"format": 1, "uid": uid, "author": "Anna", "objects": objects, **fields}
 
@@ -85,7 +85,7 @@
 
     async def _ticket_lifecycle(self):
         host = OperatorHost()
-        commented = b"// change\n" + json.dumps(body()).encode()
+        commented = b"// change\n" + json.dumps(ticket_body()).encode()
         status, found = await host.call("POST", "/v1/tickets", commented)
         self.assertEqual((200, 1), (status, found["number"]))
         self.assertEqual(1, len(host.loads))
@@ -107,7 +107,7 @@
 
         async def run():
             host = OperatorHost()
-            status, found = await host.call("POST", "/v1/tickets/check", body())
+            status, found = await host.call("POST", "/v1/tickets/check", ticket_body())
             self.assertEqual(
                 (200, ["service/booking is new."]), (status, found["changes"])
             )
@@ -144,7 +144,7 @@
                 path = path.replace("{kind}/{name}", "service/booking")
                 method = "GET" if "GET" in route.methods else "POST"
                 for key in ("", "wrong", OPERATOR_KEY[:-1], "schl\u00fcssel"):
-                    status, _ = await host.call(method, path, body(), key)
+                    status, _ = await host.call(method, path, ticket_body(), key)
                     self.assertEqual(401, status, path)
             status, _ = await host.call("GET", "/v1/status", key="operator-key-2")
             self.assertEqual(200, status)
@@ -161,7 +161,7 @@
                 (b"[1]", Code.TICKET_INVALID),
                 (b"[" * 40, Code.TOO_DEEP),
                 (b" " * 1_000_001, Code.TOO_LARGE),
-                (body(based_on=9), Code.TICKET_INVALID),
+                (ticket_body(based_on=9), Code.TICKET_INVALID),
                 (b'{"format": NaN}', Code.NON_FINITE),
             ]
             for data, code in cases:
@@ -173,7 +173,7 @@
             status, _ = await host.call("GET", "/v1/audit?since=-1")
             self.assertEqual(422, status)
             host.store.down = True
-            status, found = await host.call("POST", "/v1/tickets", body())
+            status, found = await host.call("POST", "/v1/tickets", ticket_body())
             self.assertEqual((503, 4003), (status, found["code"]))
             self.assertEqual(503, (await host.call("GET", "/v1/tickets"))[0])
 
--- a/tests/test_ticket_cli.py
+++ b/tests/test_ticket_cli.py
@@ -13,7 +13,7 @@
 from poplaryard.server import HttpServer
 
 from .fake_store import service
-from .test_operators import OPERATOR_KEY, OperatorHost, body
+from .test_operators import OPERATOR_KEY, OperatorHost, ticket_body
 
 
 async def explain(request):
@@ -39,6 +39,7 @@
 
     async def _serve(self, scope, receive, send):
         await self.host.app(scope, receive, send)
+        # Stands in for the task that loads a configuration for the rollout.
         if self.host.loads:
             self.host.loads.clear()
             await self.host.load()
@@ -72,11 +73,11 @@
 
     def write_ticket(self, *args, **fields):
         path = self.folder / "change.jsonc"
-        path.write_text(json.dumps(body(*args, **fields)))
+        path.write_text(json.dumps(ticket_body(*args, **fields)))
         return str(path)
 
     def test_ticket_is_created_filed_and_put_in_force(self):
-        """Guards against a command of the operators' procedure that fails."""
+        """Guards against a command that fails on the way from a draft to a rollout."""
         text = self.run_cli("ticket", "new", "service", "booking", "--author", "Anna")
         self.assertIn("example values of service booking", text)
         path = self.folder / "change.jsonc"
