--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -22,6 +22,7 @@
         callers = Callers(system, seed)
         faults = Faults(system, most)
         watch = asyncio.create_task(system.watch())
+        # Time for the entry processes to start.
         await asyncio.sleep(2.0)
         await asyncio.gather(callers.send(seconds), faults.run(seconds))
         await callers.finish(FINISH_S)
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -31,7 +31,7 @@
         self._ids = itertools.count(1)
 
     async def send(self, seconds):
-        """Start callers with a job each for some time."""
+        """Keep starting jobs, at random intervals, for `seconds`."""
         until = self._system.clock() + seconds
         while self._system.clock() < until:
             task = asyncio.create_task(self._run_job(self._random_job()))
@@ -131,9 +131,10 @@
             )
             return reply.status, json.loads(reply.content or b"{}")
         except PoplaryardError as exc:
-            broken_off = self._system.clock() - began < TIMEOUT_S - 0.1
-            if exc.code is Code.PEER_TIMEOUT and broken_off:
-                self._system.check_broken_off(entry, began, f"{method} {path}")
+            # Before the timeout, the error means that the connection was closed.
+            aborted = self._system.clock() - began < TIMEOUT_S - 0.1
+            if exc.code is Code.PEER_TIMEOUT and aborted:
+                self._system.check_aborted_call(entry, began, f"{method} {path}")
             return None
         except ValueError as exc:
             self._system.oracle.report_violation("ANSWER", f"{method} {path}: {exc}")
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -48,6 +48,7 @@
         tasks = set()
         while clock() < until:
             await asyncio.sleep(rng.uniform(0.1, 1.0))
+            # Faults return None; `result` raises the error of one that failed.
             tasks = {task for task in tasks if not task.done() or task.result()}
             if len(tasks) < self._most:
                 kinds, weights = zip(*self._kinds, strict=True)
@@ -71,9 +72,9 @@
         if unplanned:
             self._system.unplanned += 1
 
-    def _end(self, victim=None, unplanned=True):
-        """Record the end of a fault and free its victim."""
-        self._reserved.discard(victim)
+    def _end(self, reserved=None, unplanned=True):
+        """Record the end of a fault and release what it had reserved."""
+        self._reserved.discard(reserved)
         if unplanned:
             self._system.unplanned -= 1
             self._system.unplanned_until = self._system.clock()
@@ -162,9 +163,9 @@
         if worker is None:
             return
         self._begin(f"late orders {worker.name} {seconds:.1f} s")
-        worker.late = 0.3
+        worker.late_probability = 0.3
         await asyncio.sleep(seconds)
-        worker.late = 0.0
+        worker.late_probability = 0.0
         self._end(worker)
 
     async def _configure(self, _):
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -15,6 +15,9 @@
 class SoakJob:
     """Job as its caller knows it, and which of its tasks are done.
 
+    The name of a task is ``<job id>.<occurrence>.<step>.<index>``; jobs of the soak
+    have the occurrence 0 only.
+
     Attributes
     ----------
     accepted_at, cancelled_at : float
@@ -58,6 +61,14 @@
 class Oracle:
     """Check of what workers and callers observe; lists the broken promises.
 
+    Rules: UNASKED (a run that no caller asked for, or of a cancelled job), REFUSED (a
+    run of a refused job), ORDER (a step that starts before the steps it follows), TWICE
+    (a task that runs again), LIMIT (more CPU in use than a worker has), LOST (an
+    accepted job that is unknown, cancelled by nobody or never ends, or an aborted
+    call), MIXED (a job reported as done too early). Other parts of the soak report
+    CRASH and EXIT (processes that crash or exit with an error) and ANSWER (an answer
+    that is no JSON).
+
     Attributes
     ----------
     jobs : dict of str to SoakJob
@@ -98,7 +109,7 @@
         if not all(job.tasks(number) <= job.done for number in step.get("after", ())):
             self.report_violation("ORDER", f"{what}: an earlier step is not done")
         if not step.get("speculative"):
-            alive = [at for at in self._running.get(task, ()) if at[0].up]
+            alive = [item for item in self._running.get(task, ()) if item[0].up]
             if alive:
                 runs = [(other.name, number) for other, number in alive]
                 self.report_violation("TWICE", f"{what}: also running as {runs}")
--- a/tests/soak/system.py
+++ b/tests/soak/system.py
@@ -115,7 +115,13 @@
 
 
 class Entry:
-    """Real entry process whose calls to the store go through a proxy of its own."""
+    """Real entry process whose calls to the store go through a proxy of its own.
+
+    Parameters
+    ----------
+    ports : sequence of int
+        Ports for callers, readiness, peers and metrics.
+    """
 
     def __init__(self, name, directory, proxy, ports):
         self.name, self.proxy = name, proxy
@@ -238,12 +244,13 @@
             await asyncio.sleep(0.5)
             for entry in self.entries:
                 code = entry.process.poll()
+                # A negative code is the signal by which a fault ended the process.
                 if code is not None and code > 0:
                     self.oracle.report_violation("CRASH", f"{entry.name}: code {code}")
                     entry.start()
 
-    def check_broken_off(self, entry, began, what):
-        """Check an answer that broke off, which only unplanned faults may cause."""
+    def check_aborted_call(self, entry, began, what):
+        """Report a call whose connection closed early without an unplanned fault."""
         if not self.unplanned and began > self.unplanned_until + STABLE_S:
             self.oracle.report_violation("LOST", f"{what} broken off by {entry.name}")
 
--- a/tests/soak/workers.py
+++ b/tests/soak/workers.py
@@ -23,8 +23,8 @@
         Capacity in millicores.
     up : bool
         Whether the worker answers.
-    late : float
-        Share of the orders that are executed seconds later and never answered.
+    late_probability : float
+        Probability that an order is executed seconds later and never answered.
     runs : dict
         End of each run by the soak's clock, its CPU and its result, by (task, run).
     """
@@ -33,7 +33,7 @@
         self.name, self.rack = name, rack
         self.cpu = 4000
         self.up = True
-        self.late = 0.0
+        self.late_probability = 0.0
         self._oracle = oracle
         self._rng = rng
         self._clock = clock
@@ -43,8 +43,10 @@
 
     def restart(self):
         """Start a new instance, which knows nothing of earlier runs."""
+        # The constructor calls this method before `runs` exists.
         for task, run in list(getattr(self, "runs", ())):
             self._oracle.ended(self, task, run, "lost")
+        # Never 0, which stands for an unknown start time.
         self.born_ms = int(self._clock() * 1000) + 1
         self._started_at = self._clock()
         self.runs = {}
@@ -113,7 +115,7 @@
         self.advance()
         if call == "hold":
             status, answer = await self._hold(body)
-        elif self._rng.random() < self.late:
+        elif self._rng.random() < self.late_probability:
             born_ms = self.born_ms
             await asyncio.sleep(self._rng.uniform(1.0, 4.0))
             # A restarted worker does not execute orders that it got before.
@@ -150,6 +152,7 @@
         job = self._oracle.jobs.get(task.partition(".")[0])
         if job is not None:
             step = job.step_of(task)
+            # A daemon runs until it is stopped.
             took_s = 1e9 if step.get("daemon") else step["estimate_ms"] / 1000
             result = "failed" if self._rng.random() < 0.03 else "done"
             self.runs[task, run] = (self._clock() + took_s, step["cpu"], result)
@@ -169,6 +172,7 @@
         while not self._ended and self._clock() < until:
             await asyncio.sleep(0.01)
             self.advance()
+        # As in `RunningRun`: no checkpoint, and a progress of 10 percent.
         running = [[task, run, "", 10] for task, run in self.runs]
         finished = [list(end[:5]) for end in self._ended]
         return 200, {"born": self.born_ms, "running": running, "finished": finished}
