--- a/src/poplaryard/fuzz.py
+++ b/src/poplaryard/fuzz.py
@@ -202,8 +202,8 @@
         if self._works and self.rng.random() < (0.5 if self._contended else 0.3):
             index = self.rng.randrange(max(0, len(self._works) - 30), len(self._works))
             work, attempt, _ = self._works[index]
-            # The attempt number stays for a copy of the last attempt. A caller raises
-            # it only after the answer "not run".
+            # The same number makes this a copy of the last attempt, a higher one a new
+            # attempt. A real caller makes a new one only after the answer "not run".
             attempt += self.rng.randrange(2)
         else:
             index, work, attempt = len(self._works), self._random_work(), 1
@@ -350,7 +350,7 @@
     type=click.Choice(["small", "real"]),
     help="Owner of the shards: the built-in placement or ShardScheduler.",
 )
-@click.option("--trace", default=60, show_default=True, help="Actions to print.")
+@click.option("--trace", default=60, show_default=True, help="Trace lines to print.")
 def main(
     seed: int, steps: int, without: tuple[str, ...], scheduler: str, trace: int
 ) -> None:
--- a/src/poplaryard/fuzz_faults.py
+++ b/src/poplaryard/fuzz_faults.py
@@ -123,11 +123,11 @@
         if rng.random() < 0.7:
             world.cuts.clear()
         name, peers = self._name_and_peers(node)
-        hidden = self._random_workers(2)
+        unreachable = self._random_workers(2)
         pairs = [(name, f"store/{node.dc}")] if rng.random() < 0.8 else []
-        pairs += [(peer, worker) for peer in peers for worker in hidden]
+        pairs += [(peer, worker) for peer in peers for worker in unreachable]
         if rng.random() < 0.3:
-            pairs += self._add_isolated_node(node, name, hidden)
+            pairs += self._add_isolated_node(node, name, unreachable)
         self._cut(pairs)
         self._cut_from_peers(name, peers)
         return str(pairs)
@@ -146,7 +146,10 @@
             self._schedule(6.0, 12.0, lambda: self._cut(pairs))
 
     def isolate_from_workers(self) -> str | None:
-        """Cut an owner off from all but a worker that is added after the take-over."""
+        """Cut an owner off from its store, processes and workers; then add a worker.
+
+        The owner reaches the new worker, but must not claim it without a store lease.
+        """
         node = self._random_node()
         if node is None:
             return None
@@ -168,12 +171,12 @@
         return self.rng.sample(workers, min(len(workers), self.rng.randint(0, limit)))
 
     def _add_isolated_node(
-        self, node: Node, name: str, hidden: list[str]
+        self, node: Node, name: str, workers: list[str]
     ) -> list[tuple[str, str]]:
-        """Start a process; return the cuts from an owner and from hidden workers."""
+        """Start a process; return the cuts between it and `name` and `workers`."""
         joiner = f"{node.dc}-j{self.world.next_id()}"
         self.world.add_node(f"{joiner}#1", node.dc)
-        return [(joiner, name), *((joiner, worker) for worker in hidden)]
+        return [(joiner, name), *((joiner, worker) for worker in workers)]
 
     def _cut(self, pairs: t.Iterable[tuple[str, str]]) -> None:
         self.world.cuts |= {frozenset(pair) for pair in pairs}
--- a/src/poplaryard/fuzz_node.py
+++ b/src/poplaryard/fuzz_node.py
@@ -7,7 +7,7 @@
 from .fencing import valid_until_ms
 from .fuzz_scheduler import RealShard
 from .fuzz_shard import FuzzShard
-from .fuzz_store import failure, time_out
+from .fuzz_store import failure, timeout
 from .fuzz_worker import PollWorker
 from .messages import (
     Answer,
@@ -56,10 +56,10 @@
 # Interval between polls of the claimed workers.
 POLL_S = 1.0
 
-# Age above which a forwarded request is ignored. An older one may be a copy of one that
-# was answered "not run" and that the ledger has forgotten: it keeps answers for this
-# time plus the clock skew.
-COPY_S = 20.0
+# Age above which a forwarded request is ignored. The ledger keeps answers for this time
+# plus the clock skew. After that it would start a delayed copy of a request that was
+# answered "not run".
+MAX_REQUEST_AGE_S = 20.0
 
 # Intervals between two reads of the VM list, one of which each process picks. Its copy
 # of the list may be that old.
@@ -147,9 +147,10 @@
         self._leaving: set[str] = set()
         self._poll_at = 0.0
         self._started = self.wall()
-        # VMs as this process last read them, and by shard the wall-clock time at which
-        # it last saw a VM removed.
+        # VM list as this process last read it.
         self._listed = world.listed(dc)
+        # Wall-clock time at which this process last saw a VM removed from the list, by
+        # shard. Requests issued earlier may have run on that VM.
         self._listed_since: dict[str, float] = {}
         self._list_s = rng.choice(LIST_INTERVALS_S)
         self._list_at = 0.0
@@ -170,7 +171,7 @@
         for call_id, (sent_at, message) in list(self._store_calls.items()):
             if now > sent_at + STORE_TIMEOUT_S:
                 del self._store_calls[call_id]
-                self.handle_ownership(time_out(message))
+                self.handle_ownership(timeout(message))
         for key, sent_at in list(self._heartbeats.items()):
             if now > sent_at + PEER_TIMEOUT_S:
                 del self._heartbeats[key]
@@ -366,7 +367,9 @@
             for name in list(self.shards):
                 self.handle_shard(name, message)
             return
-        if self.wall() - message.wall > COPY_S and not self.world.disables("copy_age"):
+        if self.wall() - message.wall > MAX_REQUEST_AGE_S and not self.world.disables(
+            "copy_age"
+        ):
             return
         shard = self.world.shard_for(message.work, self)
         request = message.work.request_id
--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -1,4 +1,4 @@
-"""Minimal owner of one shard for the fuzzer: random fit over the real ledger."""
+"""Minimal owner of one shard for the fuzzer: random placement, real `Ledger`."""
 
 import itertools
 import random
@@ -336,11 +336,13 @@
             return []
         number = next(self._numbers)
         attempt_id = f"{self._process}/{self.shard}/{self._takeover.epoch}/{number}"
-        limit = valid_until_ms(*self._vms[vm].reading, self._authority.until)
+        until_ms = valid_until_ms(*self._vms[vm].reading, self._authority.until)
         if "charge" not in self._without:
-            self._sent[attempt_id] = _Sent(vm, work.need, work.request_id, limit)
+            self._sent[attempt_id] = _Sent(vm, work.need, work.request_id, until_ms)
         self.ledger.started(now, work.request_id, attempt_id, task)
-        return [StartAttempt(vm, attempt_id, self._takeover.epoch, limit, work, task)]
+        return [
+            StartAttempt(vm, attempt_id, self._takeover.epoch, until_ms, work, task)
+        ]
 
     def _find_vm(self, need: Resources) -> str | None:
         for name, vm in self._rng.sample(list(self._vms.items()), len(self._vms)):
--- a/src/poplaryard/fuzz_store.py
+++ b/src/poplaryard/fuzz_store.py
@@ -20,7 +20,7 @@
 )
 from .record import Record
 
-__all__ = ["FakeStore", "failure", "time_out"]
+__all__ = ["FakeStore", "failure", "timeout"]
 
 
 class FakeStore:
@@ -76,6 +76,7 @@
         if isinstance(message, RenewLease):
             if message.lease not in live:
                 return LeaseFailed(message.lease, lapsed=True)
+            # The TTL is `LEASE_TTL_S` as in the grant; a renewal does not carry it.
             self._leases[message.lease] = now + 6.0
             return LeaseRenewed(message.lease, sent_at)
         if isinstance(message, RevokeLease):
@@ -100,6 +101,6 @@
     return LeaseFailed() if isinstance(message, GrantLease) else RecordFailed()
 
 
-def time_out(message: t.Any) -> t.Any:
+def timeout(message: t.Any) -> t.Any:
     """Return the result of a call that got no reply in time."""
     return RecordUnknown() if isinstance(message, WriteRecord) else failure(message)
--- a/src/poplaryard/fuzz_worker.py
+++ b/src/poplaryard/fuzz_worker.py
@@ -32,7 +32,8 @@
     valid_until_ms : int
         Time on the worker's clock after which it renews no lease.
     exclusive_until_ms : int
-        The same for attempts under an exclusive key, if it is earlier.
+        The same limit for attempts under an exclusive key. The earlier of the two
+        limits applies to them.
     """
 
     vm: str
@@ -43,7 +44,13 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """Attempt on a worker; times are on the worker's clock, 0 if not ended."""
+    """Attempt on a worker; times are in seconds on the worker's clock.
+
+    Attributes
+    ----------
+    ended_at : float
+        Time of its end; 0 while it runs.
+    """
 
     start: StartAttempt
     need: Resources
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -35,15 +35,16 @@
     "exclusive_renewal": "exclusive attempts need exclusive authority for renewal",
     "lease_wait": "exclusive work waits until the old owner's tasks have ended",
     "claim": "nothing is placed on a worker that is not claimed",
-    "duplicate": "the ledger recognizes known ids",
-    "unknown_outcome": "old ids have an unknown outcome while a worker is not claimed",
+    "duplicate": "the ledger recognizes the ids of known requests",
+    "unknown_outcome": "requests issued before the take-over have an unknown outcome"
+    " while a worker is not claimed",
     "charge": "a VM is charged before the start is sent",
     "ticket_order": "only a higher ticket number is applied",
-    "promises": "no take-over while a promise lasts",
-    "promise_in_flight": "no promise while a take-over is in flight",
+    "promises": "no take-over while a promise to the owner lasts",
+    "promise_in_flight": "no promise to an owner during a take-over from it",
     "list_read": "claims are complete only after the VM list was read again",
     "claims_new": "new VMs are claimed only while the store lease holds",
-    "departed": "ids older than the last removal of a VM have an unknown outcome",
+    "departed": "requests issued before the last VM removal have an unknown outcome",
     "copy_age": "requests older than the retention of answers are ignored",
     "known": "a process that the old owner did not know waits for the claims",
     "lease_end": "take-over only after the owner's lease has ended",
@@ -140,18 +141,18 @@
         self._vms: dict[str, tuple[VmSpec, bool]] = {}
         # Entry process and work by token, for submissions that are not answered yet.
         self._callers: dict[str, tuple[str, Work]] = {}
-        count = 1 if small else rng.choice((1, 1, 2))
+        dc_count = 1 if small else rng.choice((1, 1, 2))
         max_nodes = 3 if small else 4
         self.data_centres = {
-            f"dc{i + 1}": rng.randint(1, max_nodes) for i in range(count)
+            f"dc{i + 1}": rng.randint(1, max_nodes) for i in range(dc_count)
         }
         self.shard_count = 1 if small else rng.randint(1, 2)
         self.stores = {dc: FakeStore(rng) for dc in self.data_centres}
         self.oracle.ticket_accepted(1, "content 1")
-        for dc, count in self.data_centres.items():
+        for dc, node_count in self.data_centres.items():
             for index in range(rng.randint(1, 4)):
                 self.add_worker(f"{dc}-vm{index}", dc)
-            for index in range(count):
+            for index in range(node_count):
                 self.add_node(f"{dc}-p{index}#1", dc)
 
     # Names
--- a/src/poplaryard/oracle.py
+++ b/src/poplaryard/oracle.py
@@ -64,14 +64,17 @@
         self._reached: dict[tuple[str, str], set[str]] = defaultdict(set)
         # Tokens that were unanswered when an attempt was sent, by attempt id.
         self._tokens_of_attempt: dict[str, frozenset[str]] = {}
-        # Tokens whose request has run, that were answered "not run", and that were
-        # answered at all.
+        # Tokens whose request has run.
         self._ran: set[str] = set()
+        # Tokens that were answered "not run".
         self._not_run: set[str] = set()
+        # Tokens that were answered, with any outcome.
         self._answered: set[str] = set()
+        # Pairs of an owner and a VM of which it knows that the VM is leaving.
         self._told_leaving: set[tuple[str, str]] = set()
-        # Number of the ticket that each process has applied, and content by number.
+        # Number of the ticket applied last, by process.
         self._applied: dict[str, int] = {}
+        # Content of the accepted tickets, by number.
         self._tickets: dict[int, str] = {}
         self.unanswered: dict[str, str] = {}
         self.starts_checked = 0
@@ -97,6 +100,8 @@
             raise BrokenPromise("P6", f"{owner} starts work on {vm}, which is leaving")
         unanswered = self._reached[owner, request_id] - self._answered
         self._tokens_of_attempt[attempt_id] = frozenset(unanswered)
+        # A submission that is not answered yet permits the start, even after an earlier
+        # one was answered "not run".
         if not unanswered and self._reached[owner, request_id] & self._not_run:
             raise BrokenPromise(
                 "P4", f"{request_id} is started after NOT_RUN was answered"
