--- a/src/poplaryard/starter.py
+++ b/src/poplaryard/starter.py
@@ -69,7 +69,7 @@
     def start_held(self, now: float, job: Job, task: int) -> None:
         """Start a task on the VM on which room is held for it."""
         vm = self._state.fleet.vms[job.held[task]]
-        amount = self._state.unhold(job, task)
+        amount = self._state.release_hold(job, task)
         if self.start(now, job, task, Choice(vm), amount):
             job.pending.remove(task)
 
@@ -87,7 +87,7 @@
         held = None if is_request else charge
         self._queues.started(now, attempt.attempt_id, entry, held)
         self._admission.started(now, job.work)
-        self._results.budget.first(now)
+        self._results.budget.record_attempt(now)
         job.attempts.add(attempt.attempt_id)
         return True
 
@@ -95,5 +95,5 @@
         """Return what one task of a job is charged."""
         if job.work.kind is WorkKind.REQUEST:
             return ZERO
-        limit = self._state.fleet.roomiest(job.work.need, job.work.group)
+        limit = self._state.fleet.largest_shape(job.work.need, job.work.group)
         return self._estimator.charge(job.work, limit or ZERO)
--- a/src/poplaryard/workload/node.py
+++ b/src/poplaryard/workload/node.py
@@ -14,7 +14,7 @@
 from ..exceptions import LeaseLost, PoplaryardError, StoreDown, StoreReplyLost
 from ..logs import logger
 from . import records
-from .acceptance import Acceptance, Accepted
+from .acceptance import Acceptance, SubmitOutcome
 from .advice import AdviceLines, Advisor, OwnLine
 from .membership import ProcessLease
 from .meters import Meters
@@ -22,7 +22,7 @@
 from .owner import GroupOwner, OwnerLimits, WorkerCalls
 from .relay import RelayedStorage
 from .storage import Change, Storage, Transaction
-from .watching import Watched
+from .watching import PrefixWatcher
 
 __all__ = ["Formats", "Node", "NodeConfig", "Unavailable", "strength"]
 
@@ -180,12 +180,14 @@
         self._workers: dict[str, WorkerInfo] = {}
         self._unreadable: dict[str, bytes] = {}
         config_prefix = formats.config_key.rpartition("/")[0] + "/"
-        self._config = Watched(storage, config_prefix, self._config_changed)
-        self._claim_watch = Watched(storage, "owner/", self._claim_changed)
+        self._config = PrefixWatcher(storage, config_prefix, self._config_changed)
+        self._claim_watch = PrefixWatcher(storage, "owner/", self._claim_changed)
         self._members: dict[str, records.Member] = {}
         self._lines = AdviceLines(self._advisor)
-        self._member_watch = Watched(storage, "member/", self._member_changed, 2.0)
-        self._worker_watch = Watched(
+        self._member_watch = PrefixWatcher(
+            storage, "member/", self._member_changed, 2.0
+        )
+        self._worker_watch = PrefixWatcher(
             storage,
             formats.worker_prefix,
             self._worker_changed,
@@ -227,7 +229,7 @@
                 answered = await asyncio.gather(*(map(self._answers, asked)))
                 isolated = not any(answered) and not self._relayed.direct_ok
             if isolated != self.isolated:
-                self.isolated = self._acceptance.cut_off = isolated
+                self.isolated = self._acceptance.isolated = isolated
                 logger.warning("cut off" if isolated else "no longer cut off")
 
     async def _answers(self, address: str) -> bool:
@@ -278,14 +280,14 @@
 
     # What callers ask for
 
-    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> Accepted:
+    async def submit(self, spec: JobSpec, patience_s: float = 0.0) -> SubmitOutcome:
         """Store a job; see `Acceptance.submit`."""
-        if self._relayed.away:
+        if self._relayed.store_unreachable:
             # Nothing was tried, so the caller may be told that the job never runs.
             extra = {"request": spec.job_id, "reason": "the store does not answer"}
             logger.info("job refused", extra=extra)
-            self.meters.count("poplaryard_jobs_total", Accepted.REFUSED.value)
-            return Accepted.REFUSED
+            self.meters.count("poplaryard_jobs_total", SubmitOutcome.REFUSED.value)
+            return SubmitOutcome.REFUSED
         began = self._clock.now()
         accepted = await self._acceptance.submit(spec, patience_s)
         self.meters.count("poplaryard_jobs_total", accepted.value)
@@ -321,7 +323,7 @@
                 raise Unavailable(exc.code, exc.detail) from exc
             logger.info("job cancelled", extra={"request": job_id})
             revision = found if isinstance(found, int) else 0
-            stored = records.Stored(group, revision, cancelled=[job_id])
+            stored = records.StoredJobs(group, revision, cancelled=[job_id])
             self._tell_owner_of(stored)
             return True
         return False
@@ -342,9 +344,9 @@
         """Tell the owners of jobs that were stored, without waiting for an answer."""
         for group in {spec.group for spec in specs}:
             mine = [spec for spec in specs if spec.group == group]
-            self._tell_owner_of(records.Stored(group, revision, mine))
+            self._tell_owner_of(records.StoredJobs(group, revision, mine))
 
-    def _tell_owner_of(self, stored: records.Stored) -> None:
+    def _tell_owner_of(self, stored: records.StoredJobs) -> None:
         owner = self.owners.get(stored.group)
         if owner is not None:
             owner.stored(stored)
@@ -362,7 +364,7 @@
 
     def jobs_stored(self, body: bytes) -> None:
         """Take jobs that a peer stored; raises `msgspec.DecodeError`."""
-        stored = records.decode_stored(body)
+        stored = records.decode_stored_jobs(body)
         owner = self.owners.get(stored.group)
         if owner is not None:
             owner.stored(stored)
--- a/src/poplaryard/workload/owner.py
+++ b/src/poplaryard/workload/owner.py
@@ -25,7 +25,7 @@
 from .partition import AdviceRequest, Partition, StartOrder, StopOrder
 from .runtime import CLOCK_DRIFT, LAPSE_SLACK_S, Worker
 from .storage import Change, Storage, Transaction
-from .watching import Watched
+from .watching import PrefixWatcher
 
 __all__ = ["GroupOwner", "OwnerLimits", "WorkerCalls"]
 
@@ -195,7 +195,7 @@
         )
         self._known_workers = suspects
         self._progress = {item.key: item.value for item in progress}
-        watch = Watched(
+        watch = PrefixWatcher(
             self._storage,
             records.job_prefix(self.group),
             self._job_changed,
@@ -204,7 +204,7 @@
         await watch.reload()
         self._progress.clear()
         await self._keep_workers(set(workers) - silent)
-        self.partition.keep_workers(_open(self._known_workers))
+        self.partition.allow_starts_on(_open(self._known_workers))
         self.loaded = True
         self._meters.count("poplaryard_owner_changes_total", "taken over")
         self._meters.observe("poplaryard_take_over_seconds", self._clock.now() - began)
@@ -307,7 +307,7 @@
                     worker,
                     self._clock.now(),
                     refused=exc.refused,
-                    other_life=exc.other_life,
+                    other_instance=exc.other_instance,
                     fenced=exc.fenced,
                 )
                 self._wake.set()
@@ -366,14 +366,14 @@
                 found = wanted.get(name, Suspect())
                 wanted[name] = Suspect(found.address, found.draining)
             both = {name for name in wanted if self._open_to_work(name)}
-            partition.keep_workers(_open(wanted) & both)
+            partition.allow_starts_on(_open(wanted) & both)
             transaction = self._owned()
             value = records.encode(wanted)
             transaction.puts.append((records.workers_key(self.group), value, 0))
             if not await self._commit(transaction):
                 return False
             self._known_workers = wanted
-            partition.keep_workers(_open(wanted))
+            partition.allow_starts_on(_open(wanted))
             return True
 
     # Decisions
@@ -519,7 +519,7 @@
             self._log_job(spec, fresh)
         partition.add_job(spec, now, fresh, progress)
 
-    def stored(self, stored: records.Stored) -> None:
+    def stored(self, stored: records.StoredJobs) -> None:
         """Take what a process has stored, before the watch reports it."""
         if self.partition is None or not self.loaded:
             return
@@ -542,7 +542,7 @@
                 "queue": spec.queue,
                 "steps": len(spec.steps),
                 "tasks": sum(step.count for step in spec.steps),
-                "chain_s": round(spec.chain_s(), 3),
+                "chain_s": round(spec.critical_path_s(), 3),
                 "fresh": fresh,
             },
         )
@@ -550,10 +550,10 @@
     async def _notes_loop(self) -> None:
         partition = t.cast(Partition, self.partition)
         while True:
-            if not partition.notes_urgent:
+            if not partition.progress_urgent:
                 await self._pause_notes()
             now = self._clock.now()
-            if partition.has_notes and not await self._write_notes():
+            if partition.has_unwritten_progress and not await self._write_notes():
                 await asyncio.sleep(HOLD_RETRY_S)
             if now >= self._summary_at:
                 self._summary_at = now + SUMMARY_EVERY_S
@@ -580,12 +580,12 @@
     def _changed(self) -> None:
         """Look at what can be started or has to be written now."""
         self._wake.set()
-        if self.partition is not None and self.partition.notes_urgent:
+        if self.partition is not None and self.partition.progress_urgent:
             self._notes_wake.set()
 
     async def _write_notes(self) -> bool:
         partition = t.cast(Partition, self.partition)
-        notes = partition.take_notes()
+        notes = partition.take_progress()
         began = self._clock.now()
         entries = [
             (records.progress_key(self.group, job_id), value, 0)
@@ -596,9 +596,9 @@
             transaction = self._owned()
             transaction.puts = entries[begin : begin + size]
             if not await self._commit(transaction):
-                partition.notes_failed(notes)
+                partition.progress_not_written(notes)
                 return False
-        partition.notes_written(notes)
+        partition.progress_written(notes)
         self._meters.observe("poplaryard_note_seconds", self._clock.now() - began)
         self._noted.set()
         self._noted.clear()
--- a/tests/workload/world.py
+++ b/tests/workload/fakes.py
@@ -10,7 +10,7 @@
     StoreReplyLost,
     WorkerUnreachable,
 )
-from poplaryard.workload.model import Ended, EndedRun, RunningRun, StartOutcome
+from poplaryard.workload.model import EndedRun, RunningRun, RunOutcome, StartOutcome
 from poplaryard.workload.partition import Partition, StartOrder
 from poplaryard.workload.storage import Change, Item
 from tests.workload.builders import report, worker_info
@@ -51,21 +51,21 @@
         if fence < self.fence:
             return False
         if self.runs.pop(run, None):
-            self._end(run, Ended.STOPPED)
+            self._end(run, RunOutcome.STOPPED)
         return True
 
-    def _end(self, run, how):
-        self.ended.append(EndedRun(next(self._seq), *run, how, ""))
+    def _end(self, run, outcome):
+        self.ended.append(EndedRun(next(self._seq), *run, outcome, ""))
 
     def advance(self, now):
         if self.runs and self.clock(now) > self.deadline:
             for run in list(self.runs):
                 del self.runs[run]
-                self._end(run, Ended.LAPSED)
+                self._end(run, RunOutcome.LAPSED)
         for run, (_, ends_at) in list(self.runs.items()):
             if not self.hang and now >= ends_at:
                 del self.runs[run]
-                self._end(run, Ended.FAILED if self.fail else Ended.DONE)
+                self._end(run, RunOutcome.FAILED if self.fail else RunOutcome.DONE)
 
     def hold(self, fence, acknowledged, deadline, now):
         if fence < self.fence:
@@ -122,7 +122,7 @@
             self.now += step_s
 
     def step(self):
-        self.partition.keep_workers(self.partition.may_hold_work(self.now))
+        self.partition.allow_starts_on(self.partition.may_hold_work(self.now))
         for sim in self.sims.values():
             sim.advance(self.now)
             worker = self.partition.workers.get(sim.info.worker_id)
@@ -132,7 +132,7 @@
         self._advise()
         self.partition.advance(self.now)
         self._carry_out()
-        self.partition.notes_written(self.partition.take_notes())
+        self.partition.progress_written(self.partition.take_progress())
 
     def _hold(self, worker, sim):
         if sim.cut:
