--- a/src/poplaryard/acceptance.py
+++ b/src/poplaryard/acceptance.py
@@ -78,7 +78,7 @@
 
     async def file(self, ticket: Ticket) -> FileResult:
         """File a ticket and return what became of it; never raises for the store."""
-        objects = tickets.changes_of(ticket)
+        objects = tickets.encode_changes(ticket)
         whole = ticket.model_dump(mode="json", exclude_unset=True)
         filing = Filing(ticket, tickets.digest(whole), objects, whole)
         try:
@@ -153,7 +153,7 @@
             except (StoreConflict, StoreReplyLost):
                 filing.record = await self._store.get(key)
                 if filing.record is None:
-                    self._lease.forget()
+                    self._lease.invalidate()
         raise StoreDown()
 
     async def _accepted_before(self, filing: Filing, head: Head) -> Accepted | None:
@@ -248,7 +248,7 @@
                 if await self._store.get(key) is not None:
                     return
                 # A lapsed lease is refused in the same way as an existing key.
-                self._lease.forget()
+                self._lease.invalidate()
         raise StoreDown()
 
     async def _put_objects(self, filing: Filing) -> None:
--- a/src/poplaryard/centres.py
+++ b/src/poplaryard/centres.py
@@ -10,7 +10,7 @@
 from .codes import Code
 from .peers import CallResult, Envelope, PeerTable
 
-__all__ = ["AskOwners", "RemoteOwners", "OwnerNotice", "OwnersView"]
+__all__ = ["AskOwners", "OwnerNotice", "OwnersView", "RemoteOwners"]
 
 # Age at which a view is fetched again; it is refreshed only while it is used.
 FRESH_S = 3.0
@@ -60,6 +60,18 @@
 
 @dataclass(slots=True)
 class _CachedView:
+    """Last view received from a data centre, and the state of the calls for a new one.
+
+    Attributes
+    ----------
+    seen_at, asked_at : float
+        Time of the last view, and of the start of the last round of calls.
+    asking : bool
+        Whether a round of calls is in progress.
+    reachable : bool
+        Whether the last round of calls got a reply.
+    """
+
     owners: t.Mapping[str, str] = field(default_factory=dict)
     addresses: t.Mapping[str, str] = field(default_factory=dict)
     seen_at: float = float("-inf")
@@ -75,7 +87,7 @@
     ----------
     listed : mapping
         Data centre to the addresses listed for it in the settings.
-    changed : callable
+    on_change : callable
         Called after the owners of a data centre have changed.
     """
 
@@ -84,12 +96,12 @@
         listed: t.Mapping[str, t.Sequence[str]],
         peers: PeerTable,
         clock: Clock,
-        changed: t.Callable[[], None],
+        on_change: t.Callable[[], None],
     ):
         self._listed = listed
         self._peers = peers
         self._clock = clock
-        self._changed = changed
+        self._on_change = on_change
         self._views: dict[str, _CachedView] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._rounds = itertools.count()
@@ -123,7 +135,7 @@
         for process, address in view.addresses.items():
             self._peers.set_address(process, address)
         if changed:
-            self._changed()
+            self._on_change()
 
     async def stop(self) -> None:
         """Cancel the calls in progress."""
--- a/src/poplaryard/entry.py
+++ b/src/poplaryard/entry.py
@@ -10,7 +10,7 @@
 from .limits import RetryBudget
 from .messages import Answer, Cancel, Submit, Work
 
-__all__ = ["Entry", "Router"]
+__all__ = ["RequestTracker", "Router"]
 
 _clock = SystemClock()
 
@@ -19,8 +19,11 @@
 # Interval after which an unanswered request is resent with the same id: the owner may
 # have failed or its answer may be lost. An owner that knows the id does not rerun it.
 RESEND_S = 2.0
+# Pause before a rejected request is sent to the owner then known.
 RETRY_WAIT_S = 0.05
+# Interval of the checks of deadlines and unanswered requests.
 CHECK_PERIOD_S = 0.25
+# Number of latest answers kept for callers that ask again with the same id.
 ANSWERS_KEPT = 20_000
 # Maximum number of requests submitted at other entry processes whose answers are
 # awaited here; beyond it the oldest are dropped.
@@ -47,7 +50,7 @@
         """Return the shard for work and its owner, or the reason why there is none."""
 
     def submit(self, process: str, shard: str, msg: Submit, again: bool) -> None:
-        """Send work to an owner; report failures to `Entry.undelivered`.
+        """Send work to an owner; report failures to `RequestTracker.undelivered`.
 
         `again` says that the owner may have received the request before.
         """
@@ -70,7 +73,8 @@
         Processes that may have accepted the request and have not answered, with the
         number of copies sent to them.
     sent_at, retry_at : float
-        Time of the last send, and of the next retry if one is scheduled.
+        Time of the last send, 0 to resend at the next check; and of the next retry, 0
+        if none is scheduled.
     last_code : Code
         Reason for the last failure to send the request or to get it accepted.
     """
@@ -87,7 +91,7 @@
     last_code: Code = Code.NOT_OWNER
 
 
-class Entry:
+class RequestTracker:
     """Sends callers' requests to shard owners and keeps them until they are answered.
 
     Parameters
--- a/tests/test_centres.py
+++ b/tests/test_centres.py
@@ -9,12 +9,12 @@
 
 
 class RemoteOwnersTest(testtools.TestCase):
-    """Views of other data centres; the test is the peer table."""
+    """Cached owners of another data centre, with the test as the peer table."""
 
     def setUp(self):
         super().setUp()
         self.clock = VirtualClock(100.0)
-        self.asked, self.answers, self.learned = [], {}, {}
+        self.asked, self.answers, self.addresses = [], {}, {}
         self.changes = []
         listed = {"dc2": ["a:1", "a:2"]}
         self.owners = RemoteOwners(
@@ -22,7 +22,7 @@
         )
 
     def set_address(self, process, address):
-        self.learned[process] = address
+        self.addresses[process] = address
 
     async def call(self, address, batch, timeout_s):
         self.asked.append(address)
@@ -33,7 +33,7 @@
         return CallResult.DELIVERED
 
     def owner(self):
-        """Ask for the owner of a shard, and again when the calls have ended."""
+        """Return the owner of a shard as known after the calls for it have ended."""
 
         async def run():
             self.owners.owner_of("dc2/0")
@@ -43,11 +43,11 @@
         return asyncio.run(run())
 
     def test_view_is_asked_for_when_needed_and_kept(self):
-        """Guards against calls for each request, and against calls at rest."""
+        """Guards against a call for each request, and calls while no view is used."""
         self.answers["a:2"] = OwnersView("dc2", {"dc2/0": "q#1"}, {"q#1": "a:3"})
         self.assertEqual("q#1", self.owner())
         self.assertEqual(["a:1", "a:2"], self.asked)
-        self.assertEqual("a:3", self.learned["q#1"])
+        self.assertEqual("a:3", self.addresses["q#1"])
         self.assertEqual("q#1", self.owner())
         self.assertEqual((2, 1), (len(self.asked), len(self.changes)))
         self.clock.advance(FRESH_S + 1.0)
@@ -55,8 +55,8 @@
         self.answers["a:3"] = OwnersView("dc2", {"dc2/0": "q#2"}, {})
         self.assertEqual("q#2", self.owner())
 
-    def test_a_cut_off_data_centre_is_told_at_once(self):
-        """Guards against callers who wait for a home that cannot be reached."""
+    def test_unreachable_data_centre_is_reported_at_once(self):
+        """Guards against callers who wait for a home shard that cannot be reached."""
         self.assertIs(Code.HOME_UNREACHABLE, self.owner())
         self.owner()
         self.assertEqual(2, len(self.asked))
@@ -64,8 +64,8 @@
         self.clock.advance(RETRY_S + 0.1)
         self.assertEqual("q#1", self.owner())
 
-    def test_a_silent_owner_is_asked_about_again(self):
-        """Guards against a view kept after its owner has died."""
+    def test_view_is_fetched_again_after_its_owner_is_silent(self):
+        """Guards against a cached owner that is kept after it has failed."""
         self.answers["a:1"] = OwnersView("dc2", {"dc2/0": "q#1"}, {})
         self.owner()
         self.answers["a:1"] = OwnersView("dc2", {}, {})
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,7 +5,7 @@
 from poplaryard.clock import SystemClock
 from poplaryard.codes import Code
 from poplaryard.exceptions import PoplaryardError
-from poplaryard.links import START_BATCH, AuthorityCell, WorkerLink
+from poplaryard.links import START_BATCH, CurrentAuthority, WorkerLink
 from poplaryard.messages import (
     Authority,
     ClaimReply,
@@ -21,7 +21,7 @@
 
 
 class Workers:
-    """Worker interface that records the calls and fails when told to."""
+    """Worker client that records its calls and fails on demand."""
 
     def __init__(self):
         self.calls = []
@@ -65,10 +65,10 @@
         vars(workers).update(state)
 
         async def run():
-            cell = AuthorityCell("dc1/0")
+            authority = CurrentAuthority("dc1/0")
             until = SystemClock().now() + valid_s
-            cell.set(Authority("dc1/0", 1, until))
-            link = WorkerLink("vm", "a:1", workers, posted.append, cell)
+            authority.set(Authority("dc1/0", 1, until))
+            link = WorkerLink("vm", "a:1", workers, posted.append, authority)
             steps(link)
             await asyncio.sleep(0.02)
             link.close()
@@ -89,11 +89,11 @@
         workers = Workers()
 
         async def run():
-            cell = AuthorityCell("dc1/0")
+            authority = CurrentAuthority("dc1/0")
             now = SystemClock().now()
-            cell.set(Authority("dc1/0", 1, now + 10.0))
-            cell.set(Authority("dc1/0", 1, now + 20.0, exclusive=False))
-            link = WorkerLink("vm", "a:1", workers, lambda msg: None, cell)
+            authority.set(Authority("dc1/0", 1, now + 10.0))
+            authority.set(Authority("dc1/0", 1, now + 20.0, exclusive=False))
+            link = WorkerLink("vm", "a:1", workers, lambda msg: None, authority)
             link.claim(ClaimWorker("vm", 1))
             await asyncio.sleep(0.02)
             link.close()
@@ -134,7 +134,7 @@
         self.assertEqual([Code.NO_AUTHORITY], [item.code for item in posted])
 
     def test_failures_are_posted(self):
-        """Guards against a lost start that is never cleared up."""
+        """Guards against a failed start whose outcome is never settled."""
 
         def steps(link):
             link.start(start(1))
--- a/tests/workload/fakes.py
+++ b/tests/workload/fakes.py
@@ -1,4 +1,4 @@
-"""Workers and a store in memory for tests of the workload package."""
+"""Simulated workers, a simulated group and an in-memory store for tests."""
 
 import asyncio
 import copy
@@ -15,13 +15,15 @@
 from poplaryard.workload.storage import Change, Item
 from tests.workload.builders import report, worker_info
 
-DRIFT_S = 50.0
+# Difference between the workers' clocks and the owner's, in seconds.
+CLOCK_OFFSET_S = 50.0
 
 
 class SimWorker:
-    """Worker of the platform's protocol in virtual time.
+    """Worker that follows the platform's protocol in virtual time.
 
-    ``hang`` lets its tasks stand still, ``fail`` lets them fail, ``cut`` silences it.
+    With ``stalled`` its tasks make no progress, with ``failing`` they fail, and with
+    ``unreachable`` it does not answer. ``slowness`` is a factor on run times.
     """
 
     def __init__(self, info):
@@ -30,13 +32,13 @@
         self.ended = []
         self.fence = 0
         self.deadline = 0.0
-        self.hang = self.fail = self.cut = False
+        self.stalled = self.failing = self.unreachable = False
         self.slowness = 1.0
         self._seq = itertools.count(1)
         self.started = []
 
     def clock(self, now):
-        return now + DRIFT_S
+        return now + CLOCK_OFFSET_S
 
     def start(self, run, estimate_s, now, fence, deadline):
         if fence < self.fence:
@@ -51,21 +53,23 @@
         if fence < self.fence:
             return False
         if self.runs.pop(run, None):
-            self._end(run, RunOutcome.STOPPED)
+            self.end_run(run, RunOutcome.STOPPED)
         return True
 
-    def _end(self, run, outcome):
+    def end_run(self, run, outcome):
         self.ended.append(EndedRun(next(self._seq), *run, outcome, ""))
 
     def advance(self, now):
         if self.runs and self.clock(now) > self.deadline:
             for run in list(self.runs):
                 del self.runs[run]
-                self._end(run, RunOutcome.LAPSED)
+                self.end_run(run, RunOutcome.LAPSED)
         for run, (_, ends_at) in list(self.runs.items()):
-            if not self.hang and now >= ends_at:
+            if not self.stalled and now >= ends_at:
                 del self.runs[run]
-                self._end(run, RunOutcome.FAILED if self.fail else RunOutcome.DONE)
+                self.end_run(
+                    run, RunOutcome.FAILED if self.failing else RunOutcome.DONE
+                )
 
     def hold(self, fence, acknowledged, deadline, now):
         if fence < self.fence:
@@ -73,13 +77,13 @@
         self.fence = fence
         self.deadline = max(self.deadline, deadline or 0.0)
         self.ended = [end for end in self.ended if end.seq > acknowledged]
-        rows = []
+        running_runs = []
         for (task, number), (began, ends_at) in self.runs.items():
-            share = 0 if self.hang else (now - began) / max(ends_at - began, 1e-9)
-            rows.append(RunningRun(task, number, "", int(100 * share)))
+            share = 0 if self.stalled else (now - began) / max(ends_at - began, 1e-9)
+            running_runs.append(RunningRun(task, number, "", int(100 * share)))
         return report(
             self.clock(now),
-            running=rows,
+            running=running_runs,
             ended=self.ended,
             born_ms=self.info.born_ms,
         )
@@ -91,15 +95,18 @@
     return next(partition.advice_wanted(now, lambda cost_s: True), None)
 
 
-class Cell:
-    """Partition with simulated workers, driven in virtual time."""
+class SimulatedGroup:
+    """Partition with simulated workers, driven in virtual time.
+
+    ``permitted`` holds the workers that advice permits; None stands for all.
+    """
 
     def __init__(self, workers=2, fence=7, now=100.0, sims=None, **fields):
         self.now = now
         self.fence = fence
         self.partition = Partition("desk", fence, 1_000_000.0, **fields)
         self.sims = sims or {}
-        self.good = None
+        self.permitted = None
         if not self.sims:
             for number in range(workers):
                 self.add_worker(worker_info(number))
@@ -115,33 +122,33 @@
         return self.partition.add_job(spec, self.now, fresh, progress)
 
     def run(self, seconds, step_s=0.05):
-        """Let time pass; hold, decide and carry out orders in each step."""
+        """Advance the time in steps; renew leases and carry out orders in each."""
         until = self.now + seconds
         while self.now < until:
             self.step()
             self.now += step_s
 
     def step(self):
-        self.partition.allow_starts_on(self.partition.may_hold_work(self.now))
+        self.partition.allow_starts_on(self.partition.possible_run_holders(self.now))
         for sim in self.sims.values():
             sim.advance(self.now)
             worker = self.partition.workers.get(sim.info.worker_id)
             if worker is not None:
-                self._hold(worker, sim)
+                self.renew_leases(worker, sim)
         self.partition.advance(self.now)
-        self._advise()
+        self.advise()
         self.partition.advance(self.now)
-        self._carry_out()
+        self.carry_out_orders()
         self.partition.progress_written(self.partition.take_progress())
 
-    def _hold(self, worker, sim):
-        if sim.cut:
+    def renew_leases(self, worker, sim):
+        if sim.unreachable:
             self.partition.hold_failed(worker, self.now)
             return
         deadline = None
         if worker.reachable:
             deadline = worker.clock_now(self.now) + 6.0
-            worker.granted_s = max(worker.granted_s, deadline)
+            worker.latest_deadline_s = max(worker.latest_deadline_s, deadline)
         try:
             answer = sim.hold(self.fence, worker.acked_seq, deadline, self.now)
         except WorkerUnreachable as exc:
@@ -149,23 +156,29 @@
             return
         self.partition.hold_answered(worker, answer, self.now, self.now)
 
-    def _advise(self):
+    def advise(self):
         while True:
             request = wanted_advice(self.partition, self.now)
             if request is None:
                 return
-            good = [w for w in request.workers if self.good is None or w in self.good]
+            good = [
+                w
+                for w in request.workers
+                if self.permitted is None or w in self.permitted
+            ]
             tickets = dict.fromkeys(good, "t")
             self.partition.advice_answered(request, tickets, self.now + 2.0, self.now)
 
-    def _carry_out(self):
+    def carry_out_orders(self):
         orders, self.partition.orders = self.partition.orders, []
         for order in orders:
             if isinstance(order, StartOrder):
                 self._start(order)
                 continue
             sim = self.sims[order.worker.worker_id]
-            acked = not sim.cut and sim.stop((order.task, order.number), self.fence)
+            acked = not sim.unreachable and sim.stop(
+                (order.task, order.number), self.fence
+            )
             if order.run is not None:
                 self.partition.stop_answered(order.run, acked, self.now)
 
@@ -173,14 +186,14 @@
         run = order.run
         sim = self.sims[run.worker.worker_id]
         outcome = StartOutcome.IN_DOUBT
-        if not sim.cut:
+        if not sim.unreachable:
             deadline = sim.clock(self.now) + 1.6
             estimate_s = run.task.step.spec.estimate_s
             outcome = sim.start(run.key, estimate_s, self.now, self.fence, deadline)
         self.partition.start_answered(run, outcome, self.now)
 
     def starts(self, task=None):
-        """Return (worker, task, run) of all starts, or of one task's."""
+        """Return worker, task and run number of all starts, or of those of one task."""
         return [
             (sim.info.worker_id, *run)
             for sim in self.sims.values()
@@ -190,10 +203,11 @@
 
 
 class MemoryStorage:
-    """Storage in memory.
+    """In-memory `Storage` that can inject faults.
 
-    ``faults`` lists "down", "lost" (done, no reply), "dropped" (not done, no reply) or
-    "late" (no reply, done by `deliver`) by method.
+    ``faults`` maps methods to the faults of their next calls: "down" (not done, and
+    reported so), "lost" (done, no reply), "dropped" (not done, no reply) or "late" (no
+    reply, done by `deliver`).
     """
 
     def __init__(self):
@@ -276,7 +290,7 @@
         return self.revision
 
     async def deliver(self):
-        """Carry out the late writes, if their conditions still hold."""
+        """Carry out the late writes whose expectations still hold."""
         late, self._late = self._late, []
         return [await self.commit(transaction) for transaction in late]
 
