--- a/src/poplaryard/scheduler.py
+++ b/src/poplaryard/scheduler.py
@@ -126,7 +126,7 @@
         return state.out
 
     def take_over(self, now: float, takeover: Takeover) -> None:
-        """Follow a take-over, which decides which workers to claim and what to serve.
+        """Use a take-over to decide which workers to claim and what may be served.
 
         Call this before the first `Authority` of its epoch. Without a take-over,
         exclusive work waits until every VM of the shard was claimed.
@@ -219,7 +219,7 @@
         work, state = msg.work, self._state
         open_tasks = self._results.ledger.open_tasks(work.request_id)
         job = Job(work, msg.reply_to, now, deque(open_tasks))
-        job.ran = not state.excludes_earlier_run(now, msg.wall, work)
+        job.may_have_run = not state.excludes_earlier_run(now, msg.wall, work)
         state.add_job(job)
         self._results.attach_running(job)
         if work.deadline <= now:
