--- a/src/poplaryard/fuzz_node.py
+++ b/src/poplaryard/fuzz_node.py
@@ -270,9 +270,9 @@
         self._list_at = self.now() + self._list_s
         listed = self.world.listed(self.dc)
         for vm in sorted(self._listed.keys() - listed.keys()):
-            self._process_vm_message(VmGone(vm))
+            self._handle_vm_message(VmGone(vm))
         for spec, leaving in listed.values():
-            self._process_vm_message(VmUpdate(spec, leaving))
+            self._handle_vm_message(VmUpdate(spec, leaving))
         self._listed = listed
         for name in list(self.shards):
             self.handle_shard(name, VmListRead())
@@ -382,7 +382,7 @@
         self.world.oracle.reached_owner(self.name, message.reply_to, request)
         self.handle_shard(shard, message)
 
-    def _process_vm_message(self, message: VmUpdate | VmGone) -> None:
+    def _handle_vm_message(self, message: VmUpdate | VmGone) -> None:
         vm = message.vm if isinstance(message, VmGone) else message.vm.name
         shard = self.world.shard_of(vm)
         if isinstance(message, VmGone) and not self.world.disables("departed"):
