--- a/src/poplaryard/platform/entry.py
+++ b/src/poplaryard/platform/entry.py
@@ -59,7 +59,23 @@
 
 
 class EntrySettings(msgspec.Struct):
-    """Settings of one process, in the format of `deploy/settings.json.in`."""
+    """Settings of one process, in the format of `deploy/settings.json.in`.
+
+    Attributes
+    ----------
+    store, advice : str
+        Addresses of the platform's store and advice service, "HOST:PORT".
+    cpu_share, core_speed : float
+        Cores that the process may use, and their speed relative to standard ones.
+    max_hold_ms : float
+        Upper limit of the lease that workers are given.
+    keep_s : float
+        Time for which callers may ask for a finished job.
+    early_ms : float
+        Not used.
+    grace_s : float
+        Time from SIGTERM until SIGKILL.
+    """
 
     process: str
     data_centre: str
--- a/tests/test_workers_http.py
+++ b/tests/test_workers_http.py
@@ -36,10 +36,12 @@
             await client.close()
             await host.stop()
 
-    def start(self, attempt, host=None, valid_until_ms=10**15):
-        kind = WorkKind.REQUEST if host else WorkKind.SERVICE
+    def start(self, attempt, executor=None, valid_until_ms=10**15):
+        kind = WorkKind.REQUEST if executor else WorkKind.SERVICE
         request = work(f"r-{attempt}", kind=kind, payload={"echo": 3})
-        return StartAttempt("vm2", attempt, 1, valid_until_ms, request, 0, host or "")
+        return StartAttempt(
+            "vm2", attempt, 1, valid_until_ms, request, 0, executor or ""
+        )
 
     def test_lifecycle_of_an_attempt(self):
         """Guards against a client and a stand-in that interpret a call differently."""
