--- a/src/poplaryard/fuzz.py
+++ b/src/poplaryard/fuzz.py
@@ -23,8 +23,8 @@
 
 __all__ = ["Failure", "Fuzzer", "main", "run"]
 
-# Steps after which a new world is built, so that a state in which little happens,
-# such as one without workers, does not last for the rest of the run.
+# Steps of an episode. Each episode builds a new world, so that a state in which little
+# happens, such as one without workers, does not last for the rest of the run.
 EPISODE_STEPS = 4000
 
 
@@ -61,7 +61,8 @@
     without : frozenset of str
         Names from `MECHANISMS` that are disabled.
     scheduler : str
-        Owner of the shards, ``small`` for `FuzzShard` or ``real`` for `ShardScheduler`.
+        Implementation of the shard owners, ``small`` for `FuzzShard` or ``real`` for
+        `ShardScheduler`.
     """
 
     def __init__(
@@ -84,7 +85,8 @@
         """Pick random fault weights, so that rare pairs of faults occur together."""
         weights = {name: weight for name, (_, weight) in ACTIONS.items()}
         fault_scale = self.rng.choice((0.1, 0.3, 1.0))
-        for name in sorted(weights.keys() - _PROGRESS):
+        for name in sorted(weights.keys() - _FIXED_WEIGHT):
+            # On average, half of the faults are disabled in an episode.
             weights[name] *= fault_scale * self.rng.choice((0, 0, 1, 4))
         if self._contended:
             weights |= _CONTENTION_WEIGHTS
@@ -98,7 +100,7 @@
         if detail is not None:
             self.world.note(name, detail)
 
-    # Progress
+    # Time, messages and attempts
 
     def advance(self) -> str | None:
         """Advance the time a little."""
@@ -202,8 +204,8 @@
         if self._works and self.rng.random() < (0.5 if self._contended else 0.3):
             index = self.rng.randrange(max(0, len(self._works) - 30), len(self._works))
             work, attempt, _ = self._works[index]
-            # The attempt number stays for a copy of the last attempt. A caller raises
-            # it only after the answer "not run".
+            # A copy of the last attempt keeps its number, and a retry has a higher one.
+            # Real callers retry only after the answer "not run".
             attempt += self.rng.randrange(2)
         else:
             index, work, attempt = len(self._works), self._random_work(), 1
@@ -215,6 +217,8 @@
     def _random_work(self) -> Work:
         rng, world = self.rng, self.world
         idempotent = rng.random() < 0.5
+        # Most requests are issued now; others were issued seconds or minutes ago, or by
+        # a caller whose clock is ahead.
         issued = world.wall() + rng.choice((*[0.0] * 7, -3.0, 4.0, -500.0, 20.0))
         size = rng.choice((500, 1000, 2000, 4000))
         return Work(
@@ -266,7 +270,7 @@
 }
 
 # Actions that keep an episode going; their weights are not randomized.
-_PROGRESS = {"advance", "deliver", "finish", "flush", "heal", "submit"}
+_FIXED_WEIGHT = {"advance", "deliver", "finish", "flush", "heal", "submit"}
 
 # Action and weight by the name that the trace shows.
 ACTIONS: dict[str, tuple[t.Callable[[Fuzzer], str | None], float]] = {
--- a/src/poplaryard/fuzz_faults.py
+++ b/src/poplaryard/fuzz_faults.py
@@ -82,6 +82,7 @@
             return None
         node.handle_ownership(Leave())
         base, _, number = node.name.partition("#")
+        # The other process has a new name: it is not another incarnation.
         self.world.add_node(f"{base}x#{number}", node.dc)
         return node.name
 
@@ -146,7 +147,10 @@
             self._schedule(6.0, 12.0, lambda: self._cut(pairs))
 
     def isolate_from_workers(self) -> str | None:
-        """Cut an owner off from all but a worker that is added after the take-over."""
+        """Cut an owner off from its store, peers and workers, then add a worker.
+
+        The cut-off owner can still reach the added worker, perhaps after a take-over.
+        """
         node = self._random_node()
         if node is None:
             return None
--- a/src/poplaryard/fuzz_node.py
+++ b/src/poplaryard/fuzz_node.py
@@ -1,4 +1,4 @@
-"""Simulated entry process: the decision objects of production over simulated I/O."""
+"""Simulated entry process: production ownership and scheduling over simulated I/O."""
 
 import random
 import typing as t
@@ -56,9 +56,9 @@
 # Interval between polls of the claimed workers.
 POLL_S = 1.0
 
-# Age above which a forwarded request is ignored. An older one may be a copy of one that
-# was answered "not run" and that the ledger has forgotten: it keeps answers for this
-# time plus the clock skew.
+# Age above which a forwarded request is ignored. The ledger keeps answers for this time
+# plus the clock skew. An older request may be a copy of one that was answered "not run"
+# and is forgotten, so that the copy would run.
 COPY_S = 20.0
 
 # Intervals between two reads of the VM list, one of which each process picks. Its copy
@@ -113,7 +113,7 @@
     wall_error : float
         Difference of the wall clock from the exact one in seconds.
     paused : bool
-        Whether the process is stopped for now, so that it receives and does nothing.
+        Whether the process is paused: it receives no messages and its timers stop.
     watching : bool
         Whether it watches the assignment record.
     left : bool
@@ -165,7 +165,7 @@
         return self.world.wall() + self.wall_error
 
     def tick(self) -> None:
-        """Process timeouts, and pass a tick to every decision object."""
+        """Process timeouts, tick ownership and shards, and poll workers when due."""
         now = self.now()
         for call_id, (sent_at, message) in list(self._store_calls.items()):
             if now > sent_at + STORE_TIMEOUT_S:
@@ -176,6 +176,7 @@
                 del self._heartbeats[key]
                 self.handle_ownership(PeerMissed(key[0]))
         self.handle_ownership(Tick())
+        # New VMs may be claimed only while the store lease holds, see `Takeover`.
         leased = self.ownership.state == "held" or self.world.disables("claims_new")
         for name, shard in list(self.shards.items()):
             shard.takeover.claims_new = leased
@@ -228,9 +229,9 @@
 
     def store_reply(self, call_id: int, reply: t.Any) -> None:
         """Process a reply of the store; None if it refused the connection."""
-        found = self._store_calls.pop(call_id, None)
-        if found is not None:
-            self.handle_ownership(failure(found[1]) if reply is None else reply)
+        call = self._store_calls.pop(call_id, None)
+        if call is not None:
+            self.handle_ownership(failure(call[1]) if reply is None else reply)
 
     def _start_takeover(self, out: ShardTaken) -> None:
         listed = self._listed.values()
--- a/src/poplaryard/fuzz_shard.py
+++ b/src/poplaryard/fuzz_shard.py
@@ -102,7 +102,7 @@
         self._rng = random.Random(takeover.epoch)
 
     def handle(self, now: float, message: t.Any) -> list[t.Any]:
-        """Process one message; return commands and answers."""
+        """Process one message, then place waiting work; return commands and answers."""
         out = _HANDLERS[type(message)](self, now, message)
         return [*out, *self._place(now)]
 
@@ -175,9 +175,9 @@
             return self._answer_callers(answer)
         self._cancelled.add(message.request_id)
         return [
-            StopAttempt(self._sent[k].vm, k, self._takeover.epoch)
-            for k in self.ledger.attempts(message.request_id)
-            if k in self._sent
+            StopAttempt(self._sent[attempt_id].vm, attempt_id, self._takeover.epoch)
+            for attempt_id in self.ledger.attempts(message.request_id)
+            if attempt_id in self._sent
         ]
 
     def _claim_reply(self, now: float, message: ClaimReply) -> list[t.Any]:
@@ -219,10 +219,10 @@
         """Refuse starts that the worker has not received and can no longer accept."""
         reported = {report.attempt_id for report in message.attempts}
         expired = [
-            k
-            for k, sent in self._sent.items()
+            attempt_id
+            for attempt_id, sent in self._sent.items()
             if sent.vm == message.vm
-            and k not in reported
+            and attempt_id not in reported
             and not sent.confirmed
             and message.clock_ms > sent.valid_until_ms
         ]
@@ -262,7 +262,9 @@
 
     def _lose_attempts(self, now: float, vm: str) -> list[t.Any]:
         out: list[t.Any] = []
-        for attempt_id in [k for k, sent in self._sent.items() if sent.vm == vm]:
+        for attempt_id in [
+            attempt_id for attempt_id, sent in self._sent.items() if sent.vm == vm
+        ]:
             del self._sent[attempt_id]
             out += self._answer_callers(self.ledger.lost(now, attempt_id))
         return out
--- a/src/poplaryard/fuzz_worker.py
+++ b/src/poplaryard/fuzz_worker.py
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class _Attempt:
-    """Attempt on a worker; times are on the worker's clock, 0 if not ended."""
+    """Attempt on a worker; times are on its clock. `ended_at` is 0 while it runs."""
 
     start: StartAttempt
     need: Resources
@@ -99,7 +99,10 @@
         return self.offset + true_time * self.rate
 
     def handle(self, true_time: float, message: t.Any) -> list[t.Any]:
-        """Process a message; return the replies."""
+        """Process a message; return the replies.
+
+        Each poll and claim reports all remembered attempts (G5).
+        """
         self.expire(true_time)
         if isinstance(message, ClaimWorker):
             return [self._claim(true_time, message)]
@@ -173,8 +176,8 @@
             return Code.ATTEMPT_REPEATED
         if self._is_stale(message.epoch):
             return Code.STALE_EPOCH
-        late = self.clock(true_time) * 1000 > message.valid_until_ms
-        if late and "valid_until" not in self._without:
+        expired = self.clock(true_time) * 1000 > message.valid_until_ms
+        if expired and "valid_until" not in self._without:
             return Code.START_EXPIRED
         return None
 
--- a/src/poplaryard/fuzz_world.py
+++ b/src/poplaryard/fuzz_world.py
@@ -26,7 +26,8 @@
 
 __all__ = ["MECHANISMS", "World"]
 
-# Safety mechanisms that the fuzzer can disable, to show that it detects their absence.
+# Safety mechanisms that the fuzzer can disable, to show that it detects their absence:
+# name on the command line, and rule that no longer holds.
 MECHANISMS = {
     "epoch": "workers refuse lower epochs (G1)",
     "valid_until": "workers refuse starts after valid_until_ms (G2)",
@@ -190,8 +191,8 @@
 
     def listed(self, dc: str) -> dict[str, tuple[VmSpec, bool]]:
         """Return the listed VMs of a data centre and whether each is leaving."""
-        found = self._vms.items()
-        return {vm: item for vm, item in found if item[0].data_centre == dc}
+        vms = self._vms.items()
+        return {vm: item for vm, item in vms if item[0].data_centre == dc}
 
     # Processes and workers
 
@@ -244,8 +245,8 @@
     def trace_lines(self) -> list[str]:
         """Return the trace as text."""
         return [
-            f"{true_time:9.3f} {action} {what}"
-            for true_time, action, what in self._trace
+            f"{true_time:9.3f} {action} {detail}"
+            for true_time, action, detail in self._trace
         ]
 
     def send(self, sender: str, to: str, message: t.Any) -> None:
--- a/src/poplaryard/load.py
+++ b/src/poplaryard/load.py
@@ -23,7 +23,7 @@
 LARGEST_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 REQUEST_TIMEOUT_S = 30.0
-# Requests due within this time are sent in one iteration of the loop.
+# Requests due within this time are sent together, without a sleep between them.
 STEP_S = 0.001
 
 
--- a/src/poplaryard/oracle.py
+++ b/src/poplaryard/oracle.py
@@ -1,12 +1,15 @@
 """Checks of the promises P1 to P6 and P8 on the events of a simulated cell.
 
+A promise is a safety property that callers and operators may rely on.
+
 - P1: the tasks on a VM never exceed its capacity.
 - P2: at most one task runs under an exclusive key.
 - P3: each submission gets at most one answer, to its own request and with all parts.
 - P4: a request that is answered "not run" does not run.
 - P5: a task of a non-idempotent request runs at most once.
 - P6: no work is started on a VM that is known to be leaving.
-- P8: a process applies tickets in order of their numbers, unchanged and in time.
+- P8: a process applies tickets in order of their numbers, unchanged, and within a
+  time limit that the simulation sets.
 """
 
 import typing as t
@@ -39,8 +42,8 @@
     """Global observer that checks the promises.
 
     The simulation reports each start and end of a task at the workers, each start and
-    answer that an owner sends, and each answer that a caller receives. A token names
-    one submission of a request by a caller.
+    answer that the owner of a shard sends, and each answer that a caller receives. A
+    token identifies one submission of a request by a caller.
 
     Attributes
     ----------
@@ -145,10 +148,11 @@
         if work.exclusive_key:
             self._running_by_key[work.exclusive_key] -= 1
         if resumable:
+            # The task may start once more without a breach of P5.
             self._starts[work.request_id, task] -= 1
 
     def vm_lost(self, vm: str) -> None:
-        """Record that a VM failed together with its tasks."""
+        """Record that a VM failed, so that its resources are no longer in use."""
         self._used.pop(vm, None)
 
     def answer_sent(self, owner: str, answer: Answer) -> None:
@@ -195,8 +199,10 @@
         self._applied[process] = number
 
     def ticket_late(self, process: str, number: int) -> None:
-        """Raise because a process did not apply the last ticket in time (P8)."""
-        raise BrokenPromise("P8", f"{process} still applies ticket {number}")
+        """Raise `BrokenPromise`, as a process did not apply the last ticket (P8)."""
+        raise BrokenPromise(
+            "P8", f"{process} has ticket {number} in force for too long"
+        )
 
     def used(self) -> t.Mapping[str, Resources]:
         """Return the resources in use on each VM."""
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -9,7 +9,7 @@
 
 
 class WorldMachine(RuleBasedStateMachine):
-    """Guards against short sequences of faults that break a promise.
+    """Guards against a defect that a short sequence of faults reveals.
 
     Hypothesis picks the faults, so that a failure shrinks to a short sequence.
     """
