--- a/src/poplaryard/fuzz_faults.py
+++ b/src/poplaryard/fuzz_faults.py
@@ -82,6 +82,7 @@
             return None
         node.handle_ownership(Leave())
         base, _, number = node.name.partition("#")
+        # The other process has a new name: it is not another incarnation.
         self.world.add_node(f"{base}x#{number}", node.dc)
         return node.name
 
